--- a/crates/core/src/node/inputs.rs
+++ b/crates/core/src/node/inputs.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 
 use super::{
-    Answer, CallId, Clocks, Control, Input, Node, Output, Question, VmName,
+    CallId, Clocks, Control, Input, Node, NodeCall, NodeReply, Output, VmName,
     endpoints::endpoint_statuses,
     operations::{SETTLE_LIMIT, SUBMIT_LIMIT},
     reads::Wanted,
@@ -29,7 +29,7 @@
                     control.persisted(number, clocks, out);
                 }
             }
-            Input::Ask(call, question) => self.ask(call, question, clocks),
+            Input::Call(call, question) => self.ask(call, question, clocks),
             Input::Progress(call, tokens) => self.placing.progress(call, tokens, clocks.now, out),
             Input::Finished { call, tokens, whole } => {
                 self.placing.finished(call, tokens, whole, clocks.now, out);
@@ -89,63 +89,63 @@
         }
     }
 
-    fn ask(&mut self, call: CallId, question: Question, clocks: Clocks) {
+    fn ask(&mut self, call: CallId, question: NodeCall, clocks: Clocks) {
         let out = &mut self.outputs;
         let leader = self.keeper.leader();
         match question {
-            Question::Place(req) => {
+            NodeCall::Place(req) => {
                 let scheduler = self.keeper.scheduler(clocks.now);
                 self.placing.place(call, req, scheduler, clocks.now, out);
             }
-            Question::Submit(submit) => {
+            NodeCall::Submit(submit) => {
                 let kind = OperationKind::Submit(submit);
                 self.operations.ask(call, kind, SUBMIT_LIMIT, leader, clocks.now, out);
             }
-            Question::Claim { claim, limit } => {
+            NodeCall::Claim { claim, limit } => {
                 let kind = OperationKind::Claim(claim);
                 self.operations.ask(call, kind, limit, leader, clocks.now, out);
             }
-            Question::Settle(settle) => {
+            NodeCall::Settle(settle) => {
                 let kind = OperationKind::Settle(settle);
                 self.operations.ask(call, kind, SETTLE_LIMIT, leader, clocks.now, out);
             }
-            Question::Hall { order, limit } => {
+            NodeCall::ChangeHall { order, limit } => {
                 let kind = OperationKind::Hall(order);
                 self.operations.ask(call, kind, limit, leader, clocks.now, out);
             }
-            Question::Read { limit } => {
+            NodeCall::ReadConfig { limit } => {
                 let deadline = clocks.now.after(limit);
                 self.keeper.read(call, Wanted::Configuration, deadline, clocks.now, out);
             }
-            Question::HallsOut { limit } => {
+            NodeCall::ReadHallsOut { limit } => {
                 let deadline = clocks.now.after(limit);
                 self.keeper.read(call, Wanted::HallsOut, deadline, clocks.now, out);
             }
-            Question::Trial { request, limit } => {
+            NodeCall::Trial { request, limit } => {
                 let (suspects, cx, out) = self.suspects_context(clocks);
                 suspects.ask(call, request, limit, &cx, out);
             }
-            Question::Permit(ask) => {
+            NodeCall::Permit(ask) => {
                 let (permits, mut cx, out) = self.permits_context(clocks.now);
                 permits.ask(PermitRequest { asker: call, ..ask }, &mut cx, out);
             }
-            Question::Clear { request, limit } => {
+            NodeCall::ClearSuspect { request, limit } => {
                 let request = Bytes::copy_from_slice(request.as_bytes());
                 let kind = OperationKind::Clear(ClearRequest { request });
                 self.operations.ask(call, kind, limit, leader, clocks.now, out);
             }
-            Question::Suspects => {
+            NodeCall::Suspects => {
                 let all = self.control.as_ref().map(|control| control.state().suspects().all());
-                out.answer(call, Answer::Suspects(all));
+                out.reply(call, NodeReply::Suspects(all));
             }
-            Question::Endpoints => {
+            NodeCall::Endpoints => {
                 let dispatcher = self.control.as_ref().and_then(Control::dispatcher);
                 let scheduler = dispatcher.unwrap_or(self.placing.local());
-                out.answer(call, Answer::Endpoints(endpoint_statuses(scheduler, clocks.now)));
+                out.reply(call, NodeReply::Endpoints(endpoint_statuses(scheduler, clocks.now)));
             }
-            Question::Control => {
+            NodeCall::ControlStatus => {
                 let status = self.control.as_ref().map(|control| control.status(clocks.now));
-                out.answer(call, Answer::Control(status.unwrap_or_default()));
+                out.reply(call, NodeReply::ControlStatus(status.unwrap_or_default()));
             }
         }
     }
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -25,7 +25,7 @@
 
 /// A question from one of the daemon's own threads.
 #[derive(Debug, Clone)]
-pub enum Question {
+pub enum NodeCall {
     /// Find a place for a request. Its ticket is filled in by the node.
     Place(Request),
     /// Submit an operator's file.
@@ -40,19 +40,19 @@
     /// End a claim; the answer tells when it is stored.
     Settle(Settle),
     /// The newest accepted configuration, confirmed after the question came.
-    Read {
+    ReadConfig {
         /// Time allowed.
         limit: Duration,
     },
     /// Take a data hall out of service or give it back, within this time.
-    Hall {
+    ChangeHall {
         /// The order.
         order: HallOrder,
         /// Time allowed.
         limit: Duration,
     },
     /// The data halls that are out of service, confirmed after the question came.
-    HallsOut {
+    ReadHallsOut {
         /// Time allowed.
         limit: Duration,
     },
@@ -66,7 +66,7 @@
     /// A permit for a request at one of several endpoints that name limits; who asks is filled in by the node.
     Permit(PermitRequest<CallId>),
     /// Forget the ends under a request, within this time.
-    Clear {
+    ClearSuspect {
         /// The request.
         request: RequestDigest,
         /// Time allowed.
@@ -77,7 +77,7 @@
     /// The state of the endpoints as this node's scheduler sees them.
     Endpoints,
     /// The state of the control replicas as this node sees them.
-    Control,
+    ControlStatus,
 }
 
 /// Where a request was placed.
@@ -110,36 +110,36 @@
     NoAnswer,
 }
 
-/// The answer to a [`Question`].
+/// The answer to a [`NodeCall`].
 #[derive(Debug, Clone)]
-pub enum Answer {
-    /// To [`Question::Place`].
+pub enum NodeReply {
+    /// To [`NodeCall::Place`].
     Placed(Result<Placement, RequestError>),
-    /// To [`Question::Submit`].
+    /// To [`NodeCall::Submit`].
     Submitted(Result<AcceptedVersion, SubmitError>),
-    /// To [`Question::Claim`]; `None` when no quorum answered in time.
+    /// To [`NodeCall::Claim`]; `None` when no quorum answered in time.
     Claimed(Option<ClaimResult>),
-    /// To [`Question::Settle`]; false when it could not be stored in time.
+    /// To [`NodeCall::Settle`]; false when it could not be stored in time.
     Settled(bool),
-    /// To [`Question::Read`]; `None` when it could not be confirmed in time.
-    Newest(Option<Arc<InForce>>),
-    /// To [`Question::Hall`]; `None` when no quorum answered in time.
-    Hall(Option<HallResult>),
-    /// To [`Question::HallsOut`]; `None` when they could not be confirmed in time.
+    /// To [`NodeCall::ReadConfig`]; `None` when it could not be confirmed in time.
+    Config(Option<Arc<InForce>>),
+    /// To [`NodeCall::ChangeHall`]; `None` when no quorum answered in time.
+    HallChange(Option<HallResult>),
+    /// To [`NodeCall::ReadHallsOut`]; `None` when they could not be confirmed in time.
     HallsOut(Option<HallsOut>),
-    /// To [`Question::Trial`].
+    /// To [`NodeCall::Trial`].
     Trial(TrialAnswer),
-    /// To [`Question::Permit`].
+    /// To [`NodeCall::Permit`].
     Permit(Permit),
-    /// To [`Question::Clear`]: whether the request was a suspect; `None` when no quorum answered in
+    /// To [`NodeCall::ClearSuspect`]: whether the request was a suspect; `None` when no quorum answered in
     /// time.
-    Cleared(Option<bool>),
-    /// To [`Question::Suspects`]; `None` where the node has no control replica.
+    SuspectCleared(Option<bool>),
+    /// To [`NodeCall::Suspects`]; `None` where the node has no control replica.
     Suspects(Option<Vec<Suspect>>),
-    /// To [`Question::Endpoints`].
+    /// To [`NodeCall::Endpoints`].
     Endpoints(Vec<EndpointStatus>),
-    /// To [`Question::Control`].
-    Control(ControlStatus),
+    /// To [`NodeCall::ControlStatus`].
+    ControlStatus(ControlStatus),
 }
 
 /// Something that happened.
@@ -156,7 +156,7 @@
     /// The writes of [`Output::Persist`] with this number are synced.
     Persisted(u64),
     /// A question from one of the daemon's own threads.
-    Ask(CallId, Question),
+    Call(CallId, NodeCall),
     /// A placed request has produced this many tokens.
     Progress(CallId, u64),
     /// A placed request ended.
@@ -237,7 +237,7 @@
             Input::LinkDown(_) => "link_down",
             Input::Message(_, body) => body.kind(),
             Input::Persisted(_) => "persisted",
-            Input::Ask(..) => "ask",
+            Input::Call(..) => "ask",
             Input::Progress(..) => "own_progress",
             Input::Finished { .. } => "finished",
             Input::Cancelled(_) => "cancelled",
@@ -299,7 +299,7 @@
     /// Write and sync, then tell with [`Input::Persisted`].
     Persist(u64, Persist),
     /// Answer a question.
-    Answer(CallId, Answer),
+    Reply(CallId, NodeReply),
     /// A configuration has come into force.
     InForce(Arc<InForce>),
     /// Other data halls are out of service from now on.
@@ -394,7 +394,7 @@
         self.outputs.push(Output::Send(to.clone(), body));
     }
 
-    pub(crate) fn answer(&mut self, call: CallId, answer: Answer) {
-        self.outputs.push(Output::Answer(call, answer));
+    pub(crate) fn reply(&mut self, call: CallId, reply: NodeReply) {
+        self.outputs.push(Output::Reply(call, reply));
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -92,7 +92,7 @@
     endpoints::EndpointStatus,
     holder::InForce,
     keeper::Entries,
-    messages::{Answer, CallId, Input, Output, Placement, Question, SentChange, SubmitError},
+    messages::{CallId, Input, NodeCall, NodeReply, Output, Placement, SentChange, SubmitError},
     options::{Clocks, NodeOptions, NodeTiming},
     suspects::TrialAnswer,
 };
--- a/crates/core/src/node/operations.rs
+++ b/crates/core/src/node/operations.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use super::{Answer, CallId, Outbox, SubmitError, VmName};
+use super::{CallId, NodeReply, Outbox, SubmitError, VmName};
 use crate::{
     once::{Claim, ClaimResult, Ending, NotRun, Settle},
     state::HallResult,
@@ -132,19 +132,19 @@
         let Some(pending) = self.pending.remove(&reply.id) else { return };
         let Some(call) = pending.call else { return };
         let answer = match result {
-            OperationResult::Accepted(accepted) => Answer::Submitted(Ok(accepted)),
+            OperationResult::Accepted(accepted) => NodeReply::Submitted(Ok(accepted)),
             OperationResult::RefusedFile(problem) => {
-                Answer::Submitted(Err(SubmitError::Refused(problem)))
+                NodeReply::Submitted(Err(SubmitError::Refused(problem)))
             }
             OperationResult::Rebase(version) => {
-                Answer::Submitted(Err(SubmitError::Rebase(version)))
+                NodeReply::Submitted(Err(SubmitError::Rebase(version)))
             }
-            OperationResult::Claim(reply) => Answer::Claimed(Some(claim_result(reply))),
-            OperationResult::Settled(_) => Answer::Settled(true),
-            OperationResult::Hall(reply) => Answer::Hall(Some(hall_result(&reply))),
-            OperationResult::Suspects(reply) => Answer::Cleared(Some(reply.changed)),
+            OperationResult::Claim(reply) => NodeReply::Claimed(Some(claim_result(reply))),
+            OperationResult::Settled(_) => NodeReply::Settled(true),
+            OperationResult::Hall(reply) => NodeReply::HallChange(Some(hall_result(&reply))),
+            OperationResult::Suspects(reply) => NodeReply::SuspectCleared(Some(reply.changed)),
         };
-        out.answer(call, answer);
+        out.reply(call, answer);
     }
 
     fn add(
@@ -181,19 +181,21 @@
         for id in expired {
             let Some(pending) = self.pending.remove(&id) else { continue };
             let answer = match pending.kind {
-                OperationKind::Submit(_) => Answer::Submitted(Err(SubmitError::NoAnswer)),
+                OperationKind::Submit(_) => NodeReply::Submitted(Err(SubmitError::NoAnswer)),
                 OperationKind::Claim(claim) => {
                     // It may be committed yet; nothing was sent, so it is released.
                     let kind = OperationKind::Settle(release(&claim));
                     self.add(kind, None, now.after(RELEASE_LIMIT), leader, now, out);
-                    Answer::Claimed(None)
+                    NodeReply::Claimed(None)
+                }
+                OperationKind::Settle(_) => NodeReply::Settled(false),
+                OperationKind::Hall(_) => NodeReply::HallChange(None),
+                OperationKind::Ended(_) | OperationKind::Clear(_) => {
+                    NodeReply::SuspectCleared(None)
                 }
-                OperationKind::Settle(_) => Answer::Settled(false),
-                OperationKind::Hall(_) => Answer::Hall(None),
-                OperationKind::Ended(_) | OperationKind::Clear(_) => Answer::Cleared(None),
             };
             if let Some(call) = pending.call {
-                out.answer(call, answer);
+                out.reply(call, answer);
             }
         }
     }
--- a/crates/core/src/node/permits.rs
+++ b/crates/core/src/node/permits.rs
@@ -3,7 +3,7 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use super::{Answer, CallId, Outbox, Output, VmName, keeper::SchedulerAt};
+use super::{CallId, NodeReply, Outbox, Output, VmName, keeper::SchedulerAt};
 use crate::{
     throttle::{Change, Permit, PermitQueue, PermitRequest, Throttle, Word},
     units::Instant,
@@ -77,7 +77,7 @@
     fn ask_alone(&mut self, ask: PermitRequest<CallId>, cx: &mut Context<'_>, out: &mut Outbox) {
         let call = ask.asker;
         if let Some(permit) = self.own.ask(ask, cx.throttle, cx.now) {
-            out.answer(call, Answer::Permit(permit));
+            out.reply(call, NodeReply::Permit(permit));
         }
     }
 
@@ -95,7 +95,7 @@
             }
             None => Permit::Denied { retry_after: Duration::from_millis(reply.retry_after_ms) },
         };
-        out.answer(call, Answer::Permit(permit));
+        out.reply(call, NodeReply::Permit(permit));
     }
 
     /// Tells a new leader what endpoints have said and what waits; without one what waits goes on here.
@@ -127,13 +127,13 @@
         }
         if self.own.next_decision().is_some_and(|due| due <= cx.now) {
             for (call, permit) in self.own.decide(cx.throttle, cx.now) {
-                out.answer(call, Answer::Permit(permit));
+                out.reply(call, NodeReply::Permit(permit));
             }
         }
         let overdue = self.asking.iter().filter(|(_, asking)| asking.deadline <= cx.now);
         for call in overdue.map(|(call, _)| *call).collect::<Vec<_>>() {
             self.asking.remove(&call);
-            out.answer(call, Answer::Permit(Permit::Denied { retry_after: UNANSWERED }));
+            out.reply(call, NodeReply::Permit(Permit::Denied { retry_after: UNANSWERED }));
         }
     }
 }
--- a/crates/core/src/node/placing/local.rs
+++ b/crates/core/src/node/placing/local.rs
@@ -2,7 +2,7 @@
 
 use super::{Placing, Running, Waiting};
 use crate::{
-    node::{Answer, CallId, Outbox, Output, Placement},
+    node::{CallId, NodeReply, Outbox, Output, Placement},
     placement::{Action, Relocation, Request},
     units::Instant,
     wire::Body,
@@ -19,7 +19,7 @@
         out: &mut Outbox,
     ) {
         if let Err(error) = self.local.arrive(req.clone(), now) {
-            out.answer(call, Answer::Placed(Err(error)));
+            out.reply(call, NodeReply::Placed(Err(error)));
             return;
         }
         self.waiting.insert(call, Waiting { req, deadline, remote: false });
@@ -58,12 +58,12 @@
                     self.running.insert(call, running);
                     let drawn = self.local.drawn_for(ticket, now);
                     let placement = Placement { endpoint, priority, drawn };
-                    out.answer(call, Answer::Placed(Ok(placement)));
+                    out.reply(call, NodeReply::Placed(Ok(placement)));
                 }
                 Action::GiveUp { ticket, error } => {
                     let call = CallId(ticket.number);
                     if self.waiting.remove(&call).is_some() {
-                        out.answer(call, Answer::Placed(Err(error)));
+                        out.reply(call, NodeReply::Placed(Err(error)));
                     }
                 }
             }
--- a/crates/core/src/node/placing/mod.rs
+++ b/crates/core/src/node/placing/mod.rs
@@ -14,7 +14,7 @@
 };
 
 use super::{
-    Answer, CallId, Outbox, Output, Placement, VmName, admit, engines::Engines,
+    CallId, NodeReply, Outbox, Output, Placement, VmName, admit, engines::Engines,
     keeper::SchedulerAt, load_report,
 };
 use crate::{
@@ -209,7 +209,7 @@
         self.local.adopt(waiting.req.clone(), &endpoint, 0, now);
         let placement = Placement::granted(endpoint.clone(), grant.priority);
         self.running.insert(call, Running { req: waiting.req, endpoint, tokens: 0 });
-        out.answer(call, Answer::Placed(Ok(placement)));
+        out.reply(call, NodeReply::Placed(Ok(placement)));
     }
 
     pub(crate) fn given_up(&mut self, give_up: GiveUp, out: &mut Outbox) {
@@ -220,7 +220,7 @@
         let kind = ErrorKind::from_number(give_up.kind).unwrap_or(ErrorKind::Overloaded);
         let mut error = RequestError::new(kind, give_up.message);
         error.retry_after = Some(Duration::from_millis(give_up.retry_after_ms));
-        out.answer(call, Answer::Placed(Err(error)));
+        out.reply(call, NodeReply::Placed(Err(error)));
     }
 
     /// Takes a token count. The first is passed on at once: the prompt has been read, and the
@@ -368,7 +368,7 @@
             self.cancel(call, now, out);
             let message = "no endpoint became free in time";
             let error = RequestError::new(ErrorKind::Overloaded, message);
-            out.answer(call, Answer::Placed(Err(error)));
+            out.reply(call, NodeReply::Placed(Err(error)));
         }
     }
 
--- a/crates/core/src/node/reads.rs
+++ b/crates/core/src/node/reads.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{Answer, CallId, InForce, Outbox};
+use super::{CallId, InForce, NodeReply, Outbox};
 use crate::{state::HallsOut, units::Instant};
 
 /// What a question asks for.
@@ -65,11 +65,11 @@
             }
             let answer = match read.wanted {
                 Wanted::Configuration => {
-                    Answer::Newest(config.what.filter(|_| is_confirmed).cloned())
+                    NodeReply::Config(config.what.filter(|_| is_confirmed).cloned())
                 }
-                Wanted::HallsOut => Answer::HallsOut(is_confirmed.then(|| halls.what.clone())),
+                Wanted::HallsOut => NodeReply::HallsOut(is_confirmed.then(|| halls.what.clone())),
             };
-            out.answer(read.call, answer);
+            out.reply(read.call, answer);
             false
         });
     }
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspects.rs
@@ -11,7 +11,9 @@
 
 use bytes::Bytes;
 
-use super::{AfterBreak, Answer, BrokeOff, CallId, Outbox, Output, VmName, operations::Operations};
+use super::{
+    AfterBreak, BrokeOff, CallId, NodeReply, Outbox, Output, VmName, operations::Operations,
+};
 use crate::{
     quarantine::{ClearRequest, EndedRun, EndedUnder, Known, RequestDigest, Standing},
     registry::{Registry, RunState},
@@ -218,10 +220,10 @@
     ) {
         let standing = self.standing(&request);
         if standing.is_quarantined() {
-            return out.answer(call, Answer::Trial(TrialAnswer::Quarantined));
+            return out.reply(call, NodeReply::Trial(TrialAnswer::Quarantined));
         }
         if !standing.is_suspect() {
-            return out.answer(call, Answer::Trial(TrialAnswer::Clear));
+            return out.reply(call, NodeReply::Trial(TrialAnswer::Clear));
         }
         self.asking.insert(call, Asking { request, deadline: cx.now.after(limit) });
         self.send_ask(call, request, false, cx.leader, out);
@@ -251,7 +253,7 @@
             }
             TrialStatus::Busy => TrialAnswer::NotNow,
         };
-        out.answer(call, Answer::Trial(answer));
+        out.reply(call, NodeReply::Trial(answer));
     }
 
     /// A try has ended, or its caller waits no longer for the leader's answer. One that has brought its
@@ -330,7 +332,7 @@
         for call in over.map(|(call, _)| *call).collect::<Vec<_>>() {
             self.asking.remove(&call);
             tell_over(call, cx.leader, out);
-            out.answer(call, Answer::Trial(TrialAnswer::NotNow));
+            out.reply(call, NodeReply::Trial(TrialAnswer::NotNow));
         }
     }
 
--- a/crates/core/src/node/tests/backoff.rs
+++ b/crates/core/src/node/tests/backoff.rs
@@ -13,7 +13,7 @@
 };
 use crate::{
     backoff::{Admission, Rejection},
-    node::{Input, Node, Question, VmName},
+    node::{Input, Node, NodeCall, VmName},
 };
 
 /// The endpoint that the configuration lists.
@@ -32,7 +32,7 @@
 /// Asks for a place at a VM and waits for the answer; returns whether there is one.
 fn is_placed(net: &mut Net, vm: &str) -> bool {
     let before = net.seen.placed.len();
-    let call = net.ask(&vm.into(), Question::Place(request()));
+    let call = net.ask(&vm.into(), NodeCall::Place(request()));
     net.wait_for_answer(call);
     before < net.seen.placed.len()
 }
--- a/crates/core/src/node/tests/fleet/mod.rs
+++ b/crates/core/src/node/tests/fleet/mod.rs
@@ -18,7 +18,7 @@
     agreement::Timing,
     config::Document,
     mechanism::Disabled,
-    node::{Answer, CallId, Input, Node, NodeOptions, NodeTiming, Output, Question, VmName},
+    node::{CallId, Input, Node, NodeCall, NodeOptions, NodeReply, NodeTiming, Output, VmName},
     state::ConfigChange,
     units::Instant,
     wire::{Body, EndpointRecord, Submit},
@@ -215,7 +215,7 @@
                 let synced = at + SYNC.as_micros() as u64;
                 self.arrive(vm, Input::Persisted(number), synced);
             }
-            Output::Answer(_, Answer::Submitted(result)) => {
+            Output::Reply(_, NodeReply::Submitted(result)) => {
                 let accepted = result.expect("nobody submits anything else");
                 self.accepted.insert(accepted.version, at);
             }
@@ -273,8 +273,8 @@
         let command = ConfigChange::new(version, base_version, base, &document);
         let submit = Submit { file: "f.ini".into(), command, or_newer: false };
         self.next_call += 1;
-        let question = Question::Submit(submit);
-        self.arrive(vm, Input::Ask(CallId(self.next_call), question), self.now);
+        let question = NodeCall::Submit(submit);
+        self.arrive(vm, Input::Call(CallId(self.next_call), question), self.now);
     }
 
     /// Bytes of the change that a text makes on what is in force at a VM.
--- a/crates/core/src/node/tests/halls.rs
+++ b/crates/core/src/node/tests/halls.rs
@@ -10,7 +10,7 @@
     small,
 };
 use crate::{
-    node::{Question, VmName},
+    node::{NodeCall, VmName},
     testing::fixed_seed,
 };
 
@@ -52,14 +52,14 @@
     net.wait_for_answer(call);
     net.wait(2);
 
-    net.ask(&net.entry(), Question::Place(request()));
+    net.ask(&net.entry(), NodeCall::Place(request()));
     net.wait(5);
     let placed_while_out = net.seen.placed.len();
     let refused = net.seen.refused.clone();
     let call = net.order_hall(&"vm-2".into(), "h", false);
     net.wait_for_answer(call);
     net.wait(2);
-    net.ask(&net.entry(), Question::Place(request()));
+    net.ask(&net.entry(), NodeCall::Place(request()));
     net.wait(5);
 
     expect_that!(placed_while_out, eq(0));
@@ -71,7 +71,7 @@
 fn what_waits_for_a_hall_is_refused_when_it_is_taken_out() {
     let mut net = running(&small(), 3);
     for _ in 0..5 {
-        net.ask(&net.entry(), Question::Place(request()));
+        net.ask(&net.entry(), NodeCall::Place(request()));
     }
     net.wait(5);
     let waited = net.seen.refused.len();
@@ -96,7 +96,7 @@
     }
     net.wait(100);
 
-    net.ask(&net.entry(), Question::Place(request()));
+    net.ask(&net.entry(), NodeCall::Place(request()));
     net.wait(5);
 
     expect_that!(net.seen.placed, is_empty());
@@ -168,13 +168,13 @@
     net.wait_for_answer(call);
     net.wait(2);
 
-    net.ask(&"vm-5".into(), Question::HallsOut { limit: Duration::from_secs(1) });
+    net.ask(&"vm-5".into(), NodeCall::ReadHallsOut { limit: Duration::from_secs(1) });
     net.wait(10);
     let told = net.seen.halls_told.clone();
     // One that is cut off has nobody to confirm it.
     net.cut = [old.clone()].into();
     net.isolate(&old);
-    net.ask(&old, Question::HallsOut { limit: Duration::from_secs(1) });
+    net.ask(&old, NodeCall::ReadHallsOut { limit: Duration::from_secs(1) });
     net.wait(100);
 
     expect_that!(told.len(), eq(1));
--- a/crates/core/src/node/tests/leaving.rs
+++ b/crates/core/src/node/tests/leaving.rs
@@ -9,7 +9,7 @@
 use super::net::{Net, Site, request};
 use crate::{
     backoff::Rejection,
-    node::{CallId, Input, Question, VmName, control::Control},
+    node::{CallId, Input, NodeCall, VmName, control::Control},
     placement::Scheduler,
     wire::HealthNews,
 };
@@ -80,7 +80,7 @@
         match step {
             Step::Comes(at) => {
                 let entry: VmName = if at % 2 == 0 { "vm-4" } else { "vm-5" }.into();
-                let call = self.net.ask(&entry, Question::Place(request()));
+                let call = self.net.ask(&entry, NodeCall::Place(request()));
                 self.requests.push(Request { entry, call });
             }
             Step::Leaves(at) => self.tell(at, Input::Cancelled),
--- a/crates/core/src/node/tests/limits.rs
+++ b/crates/core/src/node/tests/limits.rs
@@ -12,7 +12,7 @@
     suspects::running,
 };
 use crate::{
-    node::{CallId, Input, Node, Question, VmName},
+    node::{CallId, Input, Node, NodeCall, VmName},
     throttle::{Permit, PermitRequest, RateLimit, Word},
     units::Instant,
 };
@@ -85,7 +85,7 @@
         }
         let endpoints = vec![ENDPOINT.into()];
         let ask = PermitRequest { asker: CallId(0), service: "s".into(), endpoints, max_wait };
-        let call = net.ask(vm, Question::Permit(ask));
+        let call = net.ask(vm, NodeCall::Permit(ask));
         self.asked.push((vm.clone(), call));
     }
 
--- a/crates/core/src/node/tests/mod.rs
+++ b/crates/core/src/node/tests/mod.rs
@@ -151,7 +151,7 @@
     let mut net = without_control();
 
     for _ in 0..6 {
-        net.ask(&"vm-4".into(), Question::Place(request()));
+        net.ask(&"vm-4".into(), NodeCall::Place(request()));
     }
     net.step(false);
 
@@ -162,7 +162,7 @@
 fn a_place_that_no_scheduler_has_granted_names_the_engines_to_ask() {
     let mut net = without_control();
 
-    net.ask(&"vm-4".into(), Question::Place(request()));
+    net.ask(&"vm-4".into(), NodeCall::Place(request()));
     net.step(false);
 
     let [placement] = &net.seen.placements[..] else { panic!("{:?}", net.seen.placements) };
@@ -177,7 +177,7 @@
     net.submit(&"vm-4".into(), 1, "a");
     net.calm(60);
 
-    net.ask(&"vm-4".into(), Question::Place(request()));
+    net.ask(&"vm-4".into(), NodeCall::Place(request()));
     net.calm(20);
 
     let [placement] = &net.seen.placements[..] else { panic!("{:?}", net.seen.placements) };
@@ -194,7 +194,7 @@
     net.hosts.get_mut(&leader).unwrap().frozen = true;
     let asker: VmName = if *leader == *"vm-4" { "vm-5".into() } else { "vm-4".into() };
 
-    net.ask(&asker, Question::Place(request()));
+    net.ask(&asker, NodeCall::Place(request()));
     net.wait(100);
 
     expect_that!(net.seen.placed.len(), eq(1));
--- a/crates/core/src/node/tests/net/mishaps.rs
+++ b/crates/core/src/node/tests/net/mishaps.rs
@@ -6,7 +6,7 @@
 
 use super::{Net, fixture::request};
 use crate::{
-    node::{CallId, Input, Question, VmName},
+    node::{CallId, Input, NodeCall, VmName},
     once::Claim,
 };
 
@@ -56,7 +56,7 @@
                 self.claim(&vm, key);
             }
             2 => {
-                self.ask(&vm, Question::Place(request()));
+                self.ask(&vm, NodeCall::Place(request()));
             }
             _ => {
                 if let Some(call) = self.seen.placed.pop() {
@@ -77,7 +77,7 @@
         };
         let call = CallId(self.next_call + 1);
         self.seen.note_claim(call, key, owner);
-        self.ask(vm, Question::Claim { claim, limit: Duration::from_secs(2) });
+        self.ask(vm, NodeCall::Claim { claim, limit: Duration::from_secs(2) });
     }
 
     /// Messages that are late, daemons that are cut off or frozen, operators and callers.
--- a/crates/core/src/node/tests/net/mod.rs
+++ b/crates/core/src/node/tests/net/mod.rs
@@ -17,7 +17,7 @@
     config::Document,
     mechanism::Disabled,
     node::{
-        CallId, Clocks, ControlStatus, Input, Node, NodeOptions, NodeTiming, Output, Question,
+        CallId, Clocks, ControlStatus, Input, Node, NodeCall, NodeOptions, NodeTiming, Output,
         VmName, control::Control,
     },
     quarantine::{RequestDigest, Standing},
@@ -236,7 +236,7 @@
                 self.hosts.get_mut(vm).unwrap().writes.push_back((number, persist));
             }
             Output::InForce(in_force) => self.seen.check_in_force(vm, &in_force),
-            Output::Answer(call, answer) => {
+            Output::Reply(call, answer) => {
                 self.seen.check_answer(call, answer, Instant(self.now));
             }
             Output::Fresh { confirmed: Some(at), .. } => {
@@ -276,10 +276,10 @@
     }
 
     /// Asks a node; the answer is checked when it comes.
-    pub(super) fn ask(&mut self, vm: &VmName, question: Question) -> CallId {
+    pub(super) fn ask(&mut self, vm: &VmName, question: NodeCall) -> CallId {
         self.next_call += 1;
         let call = CallId(self.next_call);
-        self.handle(vm, Input::Ask(call, question));
+        self.handle(vm, Input::Call(call, question));
         call
     }
 
@@ -292,7 +292,7 @@
         let command = ConfigChange::new(version, base_version, base, &document);
         let submit = Submit { file: "f.ini".into(), command, or_newer: false };
         self.seen.note_submission(CallId(self.next_call + 1), version);
-        self.ask(vm, Question::Submit(submit));
+        self.ask(vm, NodeCall::Submit(submit));
     }
 
     /// Orders a data hall out of service, or back, at a VM that knows so many orders.
@@ -301,7 +301,7 @@
         let order = HallOrder { hall: hall.into(), out, after };
         let call = CallId(self.next_call + 1);
         self.seen.halls.note_order(call, &order, Instant(self.now));
-        self.ask(vm, Question::Hall { order, limit: Duration::from_secs(1) })
+        self.ask(vm, NodeCall::ChangeHall { order, limit: Duration::from_secs(1) })
     }
 
     /// Syncs the oldest write of a VM.
--- a/crates/core/src/node/tests/net/seen.rs
+++ b/crates/core/src/node/tests/net/seen.rs
@@ -5,7 +5,7 @@
 use super::halls::SeenHalls;
 use crate::{
     config::ContentHash,
-    node::{Answer, CallId, InForce, Placement, TrialAnswer, VmName},
+    node::{CallId, InForce, NodeReply, Placement, TrialAnswer, VmName},
     once::ClaimResult,
     state::HallsOut,
     throttle::Permit,
@@ -94,10 +94,10 @@
     }
 
     /// Checks an answer: every accepted version is one file, and a claim has one owner.
-    pub(super) fn check_answer(&mut self, call: CallId, answer: Answer, now: Instant) {
+    pub(super) fn check_answer(&mut self, call: CallId, answer: NodeReply, now: Instant) {
         self.answered.insert(call);
         match answer {
-            Answer::Submitted(Ok(accepted)) => {
+            NodeReply::Submitted(Ok(accepted)) => {
                 assert_eq!(accepted.version, self.submitted[&call], "another file was accepted");
                 let hash = ContentHash::from_slice(&accepted.hash).unwrap();
                 let known = self.hashes.entry(accepted.version).or_insert(hash);
@@ -106,23 +106,23 @@
                 let told = Acknowledged { at: now, version: accepted.current };
                 self.acknowledged.push(told);
             }
-            Answer::Claimed(Some(ClaimResult::Granted)) => {
+            NodeReply::Claimed(Some(ClaimResult::Granted)) => {
                 let Claimed { key, owner } = self.claims[&call];
                 let owners = self.granted.entry(key).or_default();
                 owners.insert(owner);
                 assert!(owners.len() <= 1, "a claim was granted to two owners");
             }
-            Answer::Trial(answer) => {
+            NodeReply::Trial(answer) => {
                 self.trials.insert(call, answer);
             }
-            Answer::Permit(permit) => {
+            NodeReply::Permit(permit) => {
                 self.permits.insert(call, permit);
             }
-            Answer::Cleared(cleared) => self.cleared.push(cleared),
-            Answer::Hall(Some(result)) => self.halls.note_answer(call, result, now),
-            Answer::HallsOut(halls) => self.halls_told.push(halls),
-            Answer::Placed(Err(error)) => self.refused.push(error.kind.answer().code),
-            Answer::Placed(Ok(placement)) => {
+            NodeReply::SuspectCleared(cleared) => self.cleared.push(cleared),
+            NodeReply::HallChange(Some(result)) => self.halls.note_answer(call, result, now),
+            NodeReply::HallsOut(halls) => self.halls_told.push(halls),
+            NodeReply::Placed(Err(error)) => self.refused.push(error.kind.answer().code),
+            NodeReply::Placed(Ok(placement)) => {
                 self.placed.push(call);
                 self.placements.push(placement);
             }
--- a/crates/core/src/node/tests/suspects.rs
+++ b/crates/core/src/node/tests/suspects.rs
@@ -13,7 +13,7 @@
     small,
 };
 use crate::{
-    node::{AfterBreak, BrokeOff, CallId, Input, Question, TrialAnswer, VmName},
+    node::{AfterBreak, BrokeOff, CallId, Input, NodeCall, TrialAnswer, VmName},
     quarantine::{RequestDigest, Standing},
     testing::fixed_seed,
     wire::EndpointRecord,
@@ -47,7 +47,7 @@
 
 /// Asks for a trial at a VM.
 pub(super) fn ask(net: &mut Net, vm: &VmName) -> CallId {
-    net.ask(vm, Question::Trial { request: deadly(), limit: Duration::from_secs(2) })
+    net.ask(vm, NodeCall::Trial { request: deadly(), limit: Duration::from_secs(2) })
 }
 
 /// The deadly request in quarantine, by one suspicion and two trials.
@@ -181,7 +181,7 @@
     let mut net = running(&small(), 8);
     quarantined(&mut net);
 
-    let clear = || Question::Clear { request: deadly(), limit: Duration::from_secs(1) };
+    let clear = || NodeCall::ClearSuspect { request: deadly(), limit: Duration::from_secs(1) };
     net.ask(&"vm-2".into(), clear());
     net.wait(10);
     net.ask(&"vm-5".into(), clear());
--- a/crates/server/src/relay/tests/entry.rs
+++ b/crates/server/src/relay/tests/entry.rs
@@ -18,7 +18,7 @@
     agreement::Timing,
     config::{CheckedDocument, Document},
     mechanism::Disabled,
-    node::{Answer, Input, NodeOptions, NodeTiming, Question, VmName},
+    node::{Input, NodeCall, NodeOptions, NodeReply, NodeTiming, VmName},
     state::{ChangeId, EncodedDelta},
     wire::{Body, EndpointRecord, Piece, PollReply},
 };
@@ -280,8 +280,8 @@
     /// Requests that the scheduler takes for running, at all engines together.
     pub(super) async fn running(&self) -> u64 {
         let call = self.node.view().next_call();
-        match self.node.ask(call, Question::Endpoints, LIMIT).await {
-            Some(Answer::Endpoints(endpoints)) => endpoints.iter().map(|e| e.running).sum(),
+        match self.node.ask(call, NodeCall::Endpoints, LIMIT).await {
+            Some(NodeReply::Endpoints(endpoints)) => endpoints.iter().map(|e| e.running).sum(),
             other => panic!("{other:?}"),
         }
     }
--- a/crates/server/src/runtime/mod.rs
+++ b/crates/server/src/runtime/mod.rs
@@ -28,7 +28,7 @@
 use trayswitch_clock as clock;
 use trayswitch_core::{
     backoff::{Admission, BackoffTable},
-    node::{Answer, CallId, Clocks, InForce, Input, Node, NodeOptions, Output, VmName},
+    node::{CallId, Clocks, InForce, Input, Node, NodeOptions, NodeReply, Output, VmName},
     placement::Request,
     quarantine::{DigestKey, RequestDigest, RequestIdentity, Standing},
     registry::Registered,
@@ -74,7 +74,7 @@
     view: View,
     links: Links,
     digest_key: DigestKey,
-    calls: RefCell<HashMap<CallId, oneshot::Sender<Answer>>>,
+    calls: RefCell<HashMap<CallId, oneshot::Sender<NodeReply>>>,
     moves: RefCell<HashMap<CallId, mpsc::UnboundedSender<MoveOrder>>>,
     writes: Option<writer::Writes>,
     wake: Notify,
@@ -219,7 +219,7 @@
                     let _ = writes.send(writer::Write::Endpoints(endpoints));
                 }
             }
-            Output::Answer(call, answer) => {
+            Output::Reply(call, answer) => {
                 if let Some(tx) = self.0.calls.borrow_mut().remove(&call) {
                     // An asker that stopped waiting has said so itself.
                     let _ = tx.send(answer);
--- a/crates/server/src/runtime/questions.rs
+++ b/crates/server/src/runtime/questions.rs
@@ -7,7 +7,7 @@
 use trayswitch_core::{
     config::CheckedDocument,
     error::{ErrorKind, RequestError},
-    node::{Answer, CallId, InForce, Input, Question, SubmitError},
+    node::{CallId, InForce, Input, NodeCall, NodeReply, SubmitError},
     placement::Request,
     state::{HallOrder, HallResult, HallsOut},
     throttle::{Permit, PermitRequest},
@@ -29,9 +29,9 @@
     pub async fn place(&self, req: Request) -> Result<Placed, RequestError> {
         let call = self.0.view.next_call();
         let placed = Placed::new(self.clone(), call);
-        match self.ask(call, Question::Place(req), PLACE_LIMIT).await {
-            Some(Answer::Placed(Ok(placement))) => Ok(placed.at(placement)),
-            Some(Answer::Placed(Err(error))) => Err(error),
+        match self.ask(call, NodeCall::Place(req), PLACE_LIMIT).await {
+            Some(NodeReply::Placed(Ok(placement))) => Ok(placed.at(placement)),
+            Some(NodeReply::Placed(Err(error))) => Err(error),
             _ => Err(RequestError::new(ErrorKind::NotReady, "the daemon is ending")),
         }
     }
@@ -46,8 +46,8 @@
     ) -> Permit {
         let call = self.0.view.next_call();
         let ask = PermitRequest { asker: call, service: service.into(), endpoints, max_wait };
-        match self.ask(call, Question::Permit(ask), max_wait + LEAVE_SLACK).await {
-            Some(Answer::Permit(permit)) => permit,
+        match self.ask(call, NodeCall::Permit(ask), max_wait + LEAVE_SLACK).await {
+            Some(NodeReply::Permit(permit)) => permit,
             _ => Permit::Denied { retry_after: LEAVE_SLACK },
         }
     }
@@ -68,12 +68,12 @@
             let submit = Submit { file: file.to_owned(), command, or_newer };
             let call = self.0.view.next_call();
             let left = limit.saturating_sub(began.elapsed());
-            match self.ask(call, Question::Submit(submit), left).await {
-                Some(Answer::Submitted(Err(SubmitError::Rebase(_)))) if !left.is_zero() => {
+            match self.ask(call, NodeCall::Submit(submit), left).await {
+                Some(NodeReply::Submitted(Err(SubmitError::Rebase(_)))) if !left.is_zero() => {
                     // The version accepted meanwhile is about to come into force here too.
                     tokio::time::sleep(REBASE_PAUSE).await;
                 }
-                Some(Answer::Submitted(result)) => return result,
+                Some(NodeReply::Submitted(result)) => return result,
                 _ => return Err(SubmitError::NoAnswer),
             }
         }
@@ -83,8 +83,8 @@
     pub async fn newest(&self, limit: Duration) -> Option<Arc<InForce>> {
         let call = self.0.view.next_call();
         // The node keeps the limit itself; a little more lets its answer come.
-        match self.ask(call, Question::Read { limit }, limit * 2).await {
-            Some(Answer::Newest(newest)) => newest,
+        match self.ask(call, NodeCall::ReadConfig { limit }, limit * 2).await {
+            Some(NodeReply::Config(newest)) => newest,
             _ => None,
         }
     }
@@ -93,8 +93,8 @@
     pub async fn halls_out(&self, limit: Duration) -> Option<HallsOut> {
         let call = self.0.view.next_call();
         // The node keeps the limit itself; a little more lets its answer come.
-        match self.ask(call, Question::HallsOut { limit }, limit * 2).await {
-            Some(Answer::HallsOut(halls)) => halls,
+        match self.ask(call, NodeCall::ReadHallsOut { limit }, limit * 2).await {
+            Some(NodeReply::HallsOut(halls)) => halls,
             _ => None,
         }
     }
@@ -108,18 +108,23 @@
         let order = HallOrder { hall: hall.to_owned(), out, after };
         let left = limit.saturating_sub(began.elapsed());
         let call = self.0.view.next_call();
-        match self.ask(call, Question::Hall { order, limit: left }, left).await {
-            Some(Answer::Hall(result)) => result,
+        match self.ask(call, NodeCall::ChangeHall { order, limit: left }, left).await {
+            Some(NodeReply::HallChange(result)) => result,
             _ => None,
         }
     }
 
     /// Asks the node and waits for its answer.
-    pub async fn ask(&self, call: CallId, question: Question, limit: Duration) -> Option<Answer> {
+    pub async fn ask(
+        &self,
+        call: CallId,
+        question: NodeCall,
+        limit: Duration,
+    ) -> Option<NodeReply> {
         let (tx, rx) = oneshot::channel();
         self.0.calls.borrow_mut().insert(call, tx);
         let forget = ForgetCall { node: self, call };
-        self.input(Input::Ask(call, question));
+        self.input(Input::Call(call, question));
         let answer = tokio::time::timeout(limit, rx).await.ok()?.ok();
         drop(forget);
         answer
--- a/crates/server/src/runtime/trial.rs
+++ b/crates/server/src/runtime/trial.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use trayswitch_core::{
-    node::{Answer, CallId, Input, Question, TrialAnswer},
+    node::{CallId, Input, NodeCall, NodeReply, TrialAnswer},
     quarantine::RequestDigest,
 };
 
@@ -71,13 +71,13 @@
         // Dropped before it is granted, it takes the question back.
         let mut trial =
             Trial { node: self.clone(), call, apart: false, begun: false, whole: false };
-        match self.ask(call, Question::Trial { request, limit }, limit + SLACK).await {
-            Some(Answer::Trial(TrialAnswer::Granted { apart })) => {
+        match self.ask(call, NodeCall::Trial { request, limit }, limit + SLACK).await {
+            Some(NodeReply::Trial(TrialAnswer::Granted { apart })) => {
                 trial.apart = apart;
                 Tried::Granted(trial)
             }
-            Some(Answer::Trial(TrialAnswer::Clear)) => Tried::Clear,
-            Some(Answer::Trial(TrialAnswer::Quarantined)) => Tried::Quarantined,
+            Some(NodeReply::Trial(TrialAnswer::Clear)) => Tried::Clear,
+            Some(NodeReply::Trial(TrialAnswer::Quarantined)) => Tried::Quarantined,
             _ => Tried::NotNow,
         }
     }
--- a/crates/trayswitchd/src/callers/call.rs
+++ b/crates/trayswitchd/src/callers/call.rs
@@ -9,7 +9,7 @@
 use trayswitch_core::{
     config::{CallSpec, EndpointTarget},
     error::{ErrorKind, Outcome, RequestError},
-    node::{Answer, Input, Question},
+    node::{Input, NodeCall, NodeReply},
     once::{
         Claim, ClaimKey, ClaimResult, Ending, NotRun, Settle, StoredAnswer, Unknown, uuid_v7_time,
     },
@@ -124,9 +124,9 @@
     request_id: &str,
 ) -> Result<Served, RequestError> {
     let claim = claim(request, key)?;
-    let question = Question::Claim { claim: claim.clone(), limit: CLAIM_LIMIT };
+    let question = NodeCall::Claim { claim: claim.clone(), limit: CLAIM_LIMIT };
     let result = match callers.node().ask(question, CLAIM_LIMIT * 2) {
-        Ok(Answer::Claimed(Some(result))) => result,
+        Ok(NodeReply::Claimed(Some(result))) => result,
         _ => {
             let message = "no quorum of control replicas confirmed the idempotency key";
             return Err(RequestError::new(ErrorKind::NoQuorum, message));
@@ -149,7 +149,7 @@
     };
     let settle = Settle { key: claim.key, owner: claim.owner, ending: Some(ending) };
     // The node goes on storing it after this wait.
-    if callers.node().ask(Question::Settle(settle), SETTLE_WAIT).is_err() {
+    if callers.node().ask(NodeCall::Settle(settle), SETTLE_WAIT).is_err() {
         log::warn!("{} {request_id} its outcome is not stored yet", EventId::OutcomeUnstored);
     }
     result.map(fresh)
--- a/crates/trayswitchd/src/callers/context.rs
+++ b/crates/trayswitchd/src/callers/context.rs
@@ -17,7 +17,7 @@
     backoff::Rejection,
     error::{ErrorKind, Outcome, RequestError},
     limits::RetryBudget,
-    node::{Answer, CallId, InForce, Input, Placement, Question},
+    node::{CallId, InForce, Input, NodeCall, NodeReply, Placement},
     placement,
     quarantine::{DigestKey, RequestDigest, RequestIdentity},
     signals::Signals,
@@ -240,13 +240,13 @@
         call: CallId,
         req: placement::Request,
     ) -> Result<Placement, RequestError> {
-        match self.node.ask_as(call, Question::Place(req), PLACE_LIMIT) {
-            Ok(Answer::Placed(Ok(_))) if !self.node.view().fresh() => {
+        match self.node.ask_as(call, NodeCall::Place(req), PLACE_LIMIT) {
+            Ok(NodeReply::Placed(Ok(_))) if !self.node.view().fresh() => {
                 // The VM may have been suspended while the request waited.
                 self.node.input(Input::Finished { call, tokens: 0, whole: false });
                 Err(not_ready("no control VM has confirmed the configuration lately"))
             }
-            Ok(Answer::Placed(placed)) => placed,
+            Ok(NodeReply::Placed(placed)) => placed,
             Ok(_) | Err(_) => Err(not_ready("the daemon's scheduler did not answer")),
         }
     }
--- a/crates/trayswitchd/src/callers/permit.rs
+++ b/crates/trayswitchd/src/callers/permit.rs
@@ -10,7 +10,7 @@
 
 use trayswitch_core::{
     error::RequestError,
-    node::{AfterBreak, Answer, BrokeOff, CallId, Input, Question, TrialAnswer},
+    node::{AfterBreak, BrokeOff, CallId, Input, NodeCall, NodeReply, TrialAnswer},
     quarantine::{PATIENCE, RequestDigest, no_turn, quarantined},
 };
 
@@ -67,14 +67,14 @@
             return Ok(Permit::free(node));
         }
         let call = node.view().next_call();
-        let question = Question::Trial { request: *request, limit: PATIENCE };
+        let question = NodeCall::Trial { request: *request, limit: PATIENCE };
         match node.ask_as(call, question, PATIENCE + SLACK) {
-            Ok(Answer::Trial(TrialAnswer::Granted { apart })) => {
+            Ok(NodeReply::Trial(TrialAnswer::Granted { apart })) => {
                 log::info!("{} request {request} runs as a trial", EventId::TrialAsked);
                 Ok(Permit::trial(node, call, apart))
             }
-            Ok(Answer::Trial(TrialAnswer::Clear)) => Ok(Permit::free(node)),
-            Ok(Answer::Trial(TrialAnswer::Quarantined)) => Err(quarantined()),
+            Ok(NodeReply::Trial(TrialAnswer::Clear)) => Ok(Permit::free(node)),
+            Ok(NodeReply::Trial(TrialAnswer::Quarantined)) => Err(quarantined()),
             _ => {
                 node.input(Input::TrialOver { call, whole: false });
                 Err(no_turn())
--- a/crates/trayswitchd/src/node/actor.rs
+++ b/crates/trayswitchd/src/node/actor.rs
@@ -10,7 +10,7 @@
 use trayswitch_clock::Instant;
 use trayswitch_core::{
     agreement::Persist,
-    node::{Answer, CallId, Clocks, InForce, Input, Node, Output, VmName},
+    node::{CallId, Clocks, InForce, Input, Node, NodeReply, Output, VmName},
     quarantine::{Standing, Suspect},
     units::{self, UnixMillis},
     wire::Body,
@@ -31,7 +31,7 @@
     view: Arc<View>,
     writes: Option<Writes>,
     links: HashMap<VmName, LinkHandle>,
-    calls: HashMap<CallId, mpsc::Sender<Answer>>,
+    calls: HashMap<CallId, mpsc::Sender<NodeReply>>,
     timer: MinTimerKey,
 }
 
@@ -72,7 +72,7 @@
             Event::Input(input) => self.handle(input),
             Event::Ask(call, question, tx) => {
                 self.calls.insert(call, tx);
-                self.handle(Input::Ask(call, question));
+                self.handle(Input::Call(call, question));
             }
             Event::LinkUp(vm, link) => {
                 // A second link means that the peer has given up the first.
@@ -131,7 +131,7 @@
                     let _ = writes.send((number, persist));
                 }
             }
-            Output::Answer(call, answer) => {
+            Output::Reply(call, answer) => {
                 if let Some(tx) = self.calls.remove(&call) {
                     // An asker that stopped waiting has said so itself.
                     let _ = tx.send(answer);
--- a/crates/trayswitchd/src/node/mod.rs
+++ b/crates/trayswitchd/src/node/mod.rs
@@ -18,7 +18,7 @@
 use stakker::{Stakker, actor, call, ret_nop};
 use trayswitch_clock as clock;
 use trayswitch_core::{
-    node::{Answer, CallId, Input, Node, NodeOptions, Question, VmName},
+    node::{CallId, Input, Node, NodeCall, NodeOptions, NodeReply, VmName},
     units,
     wire::Body,
 };
@@ -40,7 +40,7 @@
     /// An input of the core.
     Input(Input),
     /// A question, and where its answer goes.
-    Ask(CallId, Question, mpsc::Sender<Answer>),
+    Ask(CallId, NodeCall, mpsc::Sender<NodeReply>),
     /// A link to another daemon is up.
     LinkUp(VmName, LinkHandle),
     /// A link is down.
@@ -106,7 +106,7 @@
     }
 
     /// Asks and waits for the answer.
-    pub(crate) fn ask(&self, question: Question, limit: Duration) -> Result<Answer> {
+    pub(crate) fn ask(&self, question: NodeCall, limit: Duration) -> Result<NodeReply> {
         self.ask_as(self.view.next_call(), question, limit)
     }
 
@@ -114,9 +114,9 @@
     pub(crate) fn ask_as(
         &self,
         call: CallId,
-        question: Question,
+        question: NodeCall,
         limit: Duration,
-    ) -> Result<Answer> {
+    ) -> Result<NodeReply> {
         let (tx, rx) = mpsc::channel();
         self.send(Event::Ask(call, question, tx));
         rx.recv_timeout(limit).map_err(|_| eyre!("the daemon did not answer in time"))
--- a/crates/trayswitchd/src/operators/halls.rs
+++ b/crates/trayswitchd/src/operators/halls.rs
@@ -7,7 +7,7 @@
 use tiny_http::{Method, Request};
 use trayswitch_clock::Instant;
 use trayswitch_core::{
-    node::{Answer, Question},
+    node::{NodeCall, NodeReply},
     state::{HallOrder, HallResult, HallsOut, check_hall_name},
 };
 use trayswitch_http::{read_body, respond_json};
@@ -86,15 +86,15 @@
     let after = confirmed(node)?.number;
     let order = HallOrder { hall: hall.to_owned(), out, after };
     let limit = LIMIT.saturating_sub(began.elapsed());
-    match node.ask(Question::Hall { order, limit }, limit) {
-        Ok(Answer::Hall(result)) => result,
+    match node.ask(NodeCall::ChangeHall { order, limit }, limit) {
+        Ok(NodeReply::HallChange(result)) => result,
         _ => None,
     }
 }
 
 fn confirmed(node: &NodeHandle) -> Option<HallsOut> {
-    match node.ask(Question::HallsOut { limit: LIMIT }, LIMIT) {
-        Ok(Answer::HallsOut(halls)) => halls,
+    match node.ask(NodeCall::ReadHallsOut { limit: LIMIT }, LIMIT) {
+        Ok(NodeReply::HallsOut(halls)) => halls,
         _ => None,
     }
 }
--- a/crates/trayswitchd/src/operators/reports.rs
+++ b/crates/trayswitchd/src/operators/reports.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use trayswitch_core::{
     config::WorkspaceSpec,
-    node::{Answer, ControlStatus, EndpointStatus, Question},
+    node::{ControlStatus, EndpointStatus, NodeCall, NodeReply},
     units::Hex,
 };
 
@@ -46,8 +46,8 @@
 pub(super) fn status(callers: &Callers) -> Status {
     let view = callers.node().view();
     let in_force = view.in_force();
-    let control = match callers.node().ask(Question::Control, LIMIT) {
-        Ok(Answer::Control(control)) => control,
+    let control = match callers.node().ask(NodeCall::ControlStatus, LIMIT) {
+        Ok(NodeReply::ControlStatus(control)) => control,
         _ => ControlStatus::default(),
     };
     Status {
@@ -66,8 +66,8 @@
 }
 
 pub(super) fn endpoints(callers: &Callers) -> Vec<EndpointStatus> {
-    match callers.node().ask(Question::Endpoints, LIMIT) {
-        Ok(Answer::Endpoints(endpoints)) => endpoints,
+    match callers.node().ask(NodeCall::Endpoints, LIMIT) {
+        Ok(NodeReply::Endpoints(endpoints)) => endpoints,
         _ => Vec::new(),
     }
 }
--- a/crates/trayswitchd/src/operators/submit.rs
+++ b/crates/trayswitchd/src/operators/submit.rs
@@ -6,7 +6,7 @@
 use trayswitch_clock::Instant;
 use trayswitch_core::{
     config::{CheckedDocument, Document, Faults},
-    node::{Answer, Question, SubmitError},
+    node::{NodeCall, NodeReply, SubmitError},
     wire::{AcceptedVersion, Submit},
 };
 
@@ -24,17 +24,17 @@
     let checked = CheckedDocument::new(file, Document::parse(file, text)?)?;
     let began = Instant::now();
     loop {
-        let question = Question::Submit(Submit {
+        let question = NodeCall::Submit(Submit {
             or_newer: false,
             file: file.to_owned(),
             command: checked.change_from(node.view().in_force().as_deref()),
         });
         match node.ask(question, LIMIT) {
-            Ok(Answer::Submitted(Err(SubmitError::Rebase(_)))) if began.elapsed() < LIMIT => {
+            Ok(NodeReply::Submitted(Err(SubmitError::Rebase(_)))) if began.elapsed() < LIMIT => {
                 // The version accepted meanwhile is about to come into force here too.
                 thread::sleep(PAUSE);
             }
-            Ok(Answer::Submitted(result)) => return Ok(result),
+            Ok(NodeReply::Submitted(result)) => return Ok(result),
             Ok(_) | Err(_) => return Ok(Err(SubmitError::NoAnswer)),
         }
     }
--- a/crates/trayswitchd/src/operators/suspects.rs
+++ b/crates/trayswitchd/src/operators/suspects.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use tiny_http::{Method, Request};
 use trayswitch_core::{
-    node::{Answer, Question},
+    node::{NodeCall, NodeReply},
     quarantine::{RequestDigest, Suspect},
 };
 use trayswitch_http::respond_json;
@@ -66,12 +66,12 @@
 }
 
 fn list(callers: &Callers, req: Request) -> std::io::Result<()> {
-    match callers.node().ask(Question::Suspects, LIMIT) {
-        Ok(Answer::Suspects(Some(suspects))) => {
+    match callers.node().ask(NodeCall::Suspects, LIMIT) {
+        Ok(NodeReply::Suspects(Some(suspects))) => {
             let suspects: Vec<Shown> = suspects.into_iter().map(Shown::from).collect();
             respond_json(req, 200, &[], &suspects)
         }
-        Ok(Answer::Suspects(None)) => {
+        Ok(NodeReply::Suspects(None)) => {
             failure(req, 409, "this daemon keeps no records: ask a control VM")
         }
         _ => failure(req, 503, "the daemon did not answer in time"),
@@ -79,10 +79,10 @@
 }
 
 fn clear(callers: &Callers, request: RequestDigest, req: Request) -> std::io::Result<()> {
-    let answer = callers.node().ask(Question::Clear { request, limit: LIMIT }, LIMIT);
+    let answer = callers.node().ask(NodeCall::ClearSuspect { request, limit: LIMIT }, LIMIT);
     log::info!("{} an operator clears request {request}: {answer:?}", EventId::SuspectChanged);
     match answer {
-        Ok(Answer::Cleared(Some(cleared))) => {
+        Ok(NodeReply::SuspectCleared(Some(cleared))) => {
             let answer = json!({ "request": request.to_string(), "cleared": cleared });
             respond_json(req, 200, &[], &answer)
         }
