--- a/crates/core/src/node/placing/mod.rs
+++ b/crates/core/src/node/placing/mod.rs
@@ -22,7 +22,7 @@
     config::Endpoints,
     error::{ErrorKind, RequestError},
     mechanism::Disabled,
-    placement::{Request, Scheduler, Senders, Ticket},
+    placement::{Request, Scheduler, SenderRole, Ticket},
     throttle::Throttle,
     units::Instant,
     wire::{
@@ -301,7 +301,7 @@
 
     /// Takes the number of daemons, with which this one shares what cold endpoints bear and limits allow.
     pub(crate) fn set_daemons(&mut self, daemons: u64, now: Instant) {
-        self.local.set_senders(Senders::daemons(daemons), now);
+        self.local.set_sender_role(SenderRole::one_of(daemons), now);
     }
 
     /// Takes the leader's word of endpoints that are slow.
--- a/crates/core/src/placement/alone.rs
+++ b/crates/core/src/placement/alone.rs
@@ -8,7 +8,7 @@
 
 use std::sync::Arc;
 
-use super::reading::reading_time;
+use super::reading::prefill_time;
 
 /// Cost of a full memory, in seconds of waiting for prompts to be read: engines with much free memory
 /// push nothing aside. Between 0.2 and 2 s no difference beyond 0.01 of the worth was measured.
@@ -49,7 +49,7 @@
 impl EngineLoad {
     /// Seconds lost by a prompt of this length there.
     fn cost(&self, prompt_tokens: u64, slowness: f64) -> f64 {
-        let unread = reading_time(self.unread_tokens).as_secs_f64() * slowness;
+        let unread = prefill_time(self.unread_tokens).as_secs_f64() * slowness;
         unread + MEMORY_VALUE * self.fullness(prompt_tokens)
     }
 
--- a/crates/core/src/placement/cold_tests.rs
+++ b/crates/core/src/placement/cold_tests.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 
 use super::{
-    Action, Request, Scheduler, Senders,
+    Action, Request, Scheduler, SenderRole,
     fixture::{engines, ms, request, scheduler},
 };
 use crate::{
@@ -169,7 +169,7 @@
     let mut alone: Vec<Scheduler> = (0..daemons)
         .map(|daemon| {
             let mut scheduler = Scheduler::alone(Disabled::default(), seed * 1_000 + daemon);
-            scheduler.set_senders(Senders::daemons(daemons), ms(0));
+            scheduler.set_sender_role(SenderRole::one_of(daemons), ms(0));
             scheduler.configure(&cold_engines(&halls));
             for n in 0..endpoints {
                 scheduler.endpoint_cold(&format!("e{n}"), ms(3_000), ms(0));
--- a/crates/core/src/placement/endpoint.rs
+++ b/crates/core/src/placement/endpoint.rs
@@ -7,7 +7,7 @@
 };
 
 use super::{
-    PrefixHash, Senders, Ticket,
+    PrefixHash, SenderRole, Ticket,
     cold::{Cold, cold_interval},
     forecast::{HORIZONS, Survival},
     pace::Pace,
@@ -168,7 +168,7 @@
 
     /// Notes that it is cold until then; its first request is due after this part of the time between
     /// two.
-    pub(crate) fn set_cold(&mut self, until: Instant, by: Senders, part: f64, now: Instant) {
+    pub(crate) fn set_cold(&mut self, until: Instant, by: SenderRole, part: f64, now: Instant) {
         let Some(bears) = self.spec.cold_start else { return };
         match &mut self.cold {
             Some(cold) if !cold.is_over(now) => cold.last(until),
@@ -177,7 +177,7 @@
     }
 
     /// Notes that a request is sent to it.
-    pub(crate) fn note_sent(&mut self, by: Senders, now: Instant) {
+    pub(crate) fn note_sent(&mut self, by: SenderRole, now: Instant) {
         if let (Some(cold), Some(bears)) = (&mut self.cold, self.spec.cold_start) {
             cold.sent(cold_interval(by, bears), now);
         }
--- a/crates/core/src/placement/endpoint_news.rs
+++ b/crates/core/src/placement/endpoint_news.rs
@@ -7,7 +7,7 @@
 };
 
 use super::{
-    Senders, Ticket,
+    SenderRole, Ticket,
     endpoint::{EndpointState, Health, LoadReport},
     scheduler::{Placed, Scheduler},
 };
@@ -84,7 +84,7 @@
     }
 
     /// Tells the scheduler with whom it shares what cold endpoints bear and limits allow.
-    pub fn set_senders(&mut self, senders: Senders, now: Instant) {
+    pub fn set_sender_role(&mut self, senders: SenderRole, now: Instant) {
         self.senders = senders;
         self.throttle.set_senders(senders, now);
     }
--- a/crates/core/src/placement/in_time_tests.rs
+++ b/crates/core/src/placement/in_time_tests.rs
@@ -8,7 +8,7 @@
 use super::{
     Action, Request, Scheduler, Ticket,
     fixture::{ms, request, scheduler},
-    reading::reading_time,
+    reading::prefill_time,
 };
 use crate::{testing::fixed_seed, units::Instant};
 
@@ -18,7 +18,7 @@
 /// A request whose prompt takes this long to read.
 fn reads_for(number: u64, ms: u64) -> Request {
     let prompt_tokens = ms * 7;
-    let max_wait = WITHIN.saturating_sub(reading_time(prompt_tokens));
+    let max_wait = WITHIN.saturating_sub(prefill_time(prompt_tokens));
     Request { max_wait, first_within: WITHIN, ..request(number, prompt_tokens, 100) }
 }
 
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -42,7 +42,7 @@
 mod reading_tests;
 mod running;
 mod scheduler;
-mod senders;
+mod sender_role;
 mod target;
 #[cfg(test)]
 mod tests;
@@ -51,7 +51,7 @@
 
 use crate::{config::EndpointTarget, error::RequestError};
 
-pub(crate) use self::senders::Parts;
+pub(crate) use self::sender_role::RateSplit;
 pub use self::{
     alone::{Candidate, Drawn, EngineLoad, sort},
     cold::{Cold, cold_interval},
@@ -59,9 +59,9 @@
     evacuation::Relocation,
     forecast::{HORIZONS, LengthForecast, Survival},
     policy::{FirstFit, ForecastPolicy, LeastOutstanding, Policy, RoundRobin, TwoDrawn, Work},
-    reading::reading_time,
+    reading::prefill_time,
     scheduler::{Scheduler, SchedulerLimits},
-    senders::Senders,
+    sender_role::SenderRole,
 };
 
 /// Ranks that one tier takes up; kinds of request are told apart within them.
--- a/crates/core/src/placement/reading.rs
+++ b/crates/core/src/placement/reading.rs
@@ -22,7 +22,7 @@
 const USUAL_SPEED: f64 = BETWEEN_TOKENS_PER_MS as f64 * 1_000.0;
 
 /// Time that an engine takes to read a prompt of this length between the tokens of others.
-pub fn reading_time(prompt_tokens: u64) -> Duration {
+pub fn prefill_time(prompt_tokens: u64) -> Duration {
     Duration::from_micros(prompt_tokens.saturating_mul(1_000) / BETWEEN_TOKENS_PER_MS)
 }
 
--- a/crates/core/src/placement/reading_tests.rs
+++ b/crates/core/src/placement/reading_tests.rs
@@ -8,7 +8,7 @@
 use super::{
     Action, Request, Scheduler, Ticket,
     fixture::{ms, request, scheduler},
-    reading::{Reading, reading_time},
+    reading::{Reading, prefill_time},
 };
 use crate::{testing::fixed_seed, units::Instant};
 
@@ -20,7 +20,7 @@
 
 /// Lets a request end as soon as its prompt would have been read.
 fn ends(scheduler: &mut Scheduler, req: &Request, now: Instant) {
-    scheduler.finish(req.ticket, 12, true, now.after(reading_time(req.prompt_tokens)));
+    scheduler.finish(req.ticket, 12, true, now.after(prefill_time(req.prompt_tokens)));
 }
 
 /// A scheduler that knows how long answers are, of engines that run these many chats each.
@@ -148,7 +148,7 @@
 
         prop_assert!((part / given - 1.0).abs() < 0.3, "{part} for {given}");
         prop_assert!(reading.part(ms(now + 20_000)) < given * 0.01);
-        prop_assert!(reading_time(tokens) <= reading.left(ms(now)));
+        prop_assert!(prefill_time(tokens) <= reading.left(ms(now)));
     }
 }
 
--- a/crates/core/src/placement/scheduler.rs
+++ b/crates/core/src/placement/scheduler.rs
@@ -7,7 +7,7 @@
 };
 
 use super::{
-    Action, Drawn, Request, Senders, Ticket,
+    Action, Drawn, Request, SenderRole, Ticket,
     apart::Apart,
     backoff::{Candidates, Held},
     endpoint::{EndpointState, Share},
@@ -119,7 +119,7 @@
     /// Endpoints that are cold, or were lately: few of many.
     pub(super) cold: BTreeSet<Arc<str>>,
     /// With whom it shares what they bear, and what limits allow.
-    pub(super) senders: Senders,
+    pub(super) senders: SenderRole,
     /// The limits that endpoints name, also those of endpoints that it does not place at itself.
     pub(crate) throttle: Throttle,
     /// The endpoints that have rejected requests lately, and the daemons that they have asked to back off.
@@ -152,8 +152,8 @@
             apart: Apart::default(),
             counts: HashMap::new(),
             cold: BTreeSet::new(),
-            senders: Senders::Scheduler,
-            throttle: Throttle::new(Senders::Scheduler, 0),
+            senders: SenderRole::Scheduler,
+            throttle: Throttle::new(SenderRole::Scheduler, 0),
             backoffs: BackoffTable::default(),
             held: Vec::new(),
             refusals: Refusals::default(),
@@ -175,7 +175,7 @@
         let disabled = disabled.with(Mechanism::Handover);
         let limits = SchedulerLimits { disabled, ..SchedulerLimits::default() };
         let policy = Box::new(TwoDrawn::without(disabled, seed));
-        let senders = Senders::daemons(0);
+        let senders = SenderRole::one_of(0);
         let (samples, alone) = (seed as usize, Some(seed));
         let throttle = Throttle::new(senders, seed);
         Scheduler { samples, alone, senders, throttle, ..Scheduler::new(limits, policy) }
--- a/crates/core/src/throttle/queue_tests.rs
+++ b/crates/core/src/throttle/queue_tests.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 
 use super::{Permit, PermitQueue, PermitRequest, RateLimit, Throttle, Word};
-use crate::{placement::Senders, testing::fixed_seed, units::Instant};
+use crate::{placement::SenderRole, testing::fixed_seed, units::Instant};
 
 const SECOND: Duration = Duration::from_secs(1);
 /// Time before any limit is named in these tests.
@@ -18,7 +18,7 @@
 
 /// Endpoints that have all named a limit of so many requests a second at the start.
 fn limited(endpoints: &[&str], per_second: f64) -> Throttle {
-    let mut throttle = Throttle::new(Senders::Scheduler, 0);
+    let mut throttle = Throttle::new(SenderRole::Scheduler, 0);
     for endpoint in endpoints {
         name(&mut throttle, endpoint, per_second, START);
     }
--- a/crates/core/src/throttle/table.rs
+++ b/crates/core/src/throttle/table.rs
@@ -9,13 +9,13 @@
 
 use super::{RateLimit, Word, turns::Turns};
 use crate::{
-    placement::{Parts, Senders},
+    placement::{RateSplit, SenderRole},
     units::Instant,
 };
 
 /// Who sends which part of what an endpoint takes. What the scheduler leaves bears the differences of the ways
 /// that requests take; while some daemons reach it and others do not, both parts together are 1.45 times the limit.
-const PARTS: Parts = Parts { scheduler: 0.95, daemons: 0.5 };
+const PARTS: RateSplit = RateSplit { scheduler: 0.95, daemons: 0.5 };
 /// A limit that differs from the one that was told by less than this part is no news.
 const NO_NEWS: f64 = 0.1;
 /// For so long it is known that an endpoint names no limit any more, against old word of one.
@@ -58,7 +58,7 @@
 /// The limits of endpoints, as one sender knows them.
 #[derive(Debug)]
 pub struct Throttle {
-    senders: Senders,
+    senders: SenderRole,
     /// Random number of a daemon that sends by itself.
     seed: u64,
     known: HashMap<Arc<str>, Known>,
@@ -66,7 +66,7 @@
 
 impl Throttle {
     /// No limits yet; the seed must be another one on each daemon that sends by itself.
-    pub fn new(senders: Senders, seed: u64) -> Throttle {
+    pub fn new(senders: SenderRole, seed: u64) -> Throttle {
         Throttle { senders, seed, known: HashMap::new() }
     }
 
@@ -100,7 +100,7 @@
         let Some(known) = self.known.get_mut(&word.endpoint) else {
             let Some(limit) = word.limit else { return Change::None };
             let interval = self.senders.interval(limit.interval(), PARTS);
-            let turns = Turns::new(interval, self.senders.are_many(), self.phase(&word), now);
+            let turns = Turns::new(interval, self.senders.has_peers(), self.phase(&word), now);
             let known = Known { told: word.limit, turns, word };
             self.known.insert(known.word.endpoint.clone(), known);
             return Change::Named;
@@ -110,7 +110,7 @@
         }
         if let Some(limit) = word.limit {
             let interval = self.senders.interval(limit.interval(), PARTS);
-            known.turns.space(interval, self.senders.are_many(), now);
+            known.turns.space(interval, self.senders.has_peers(), now);
         }
         known.word = word;
         let change = match (known.told, known.word.limit) {
@@ -127,7 +127,7 @@
     }
 
     /// Takes with whom it shares what endpoints take.
-    pub fn set_senders(&mut self, senders: Senders, now: Instant) {
+    pub fn set_senders(&mut self, senders: SenderRole, now: Instant) {
         if self.senders == senders {
             return;
         }
@@ -135,7 +135,7 @@
         for known in self.known.values_mut() {
             let Some(limit) = known.word.limit else { continue };
             let interval = senders.interval(limit.interval(), PARTS);
-            known.turns.space(interval, senders.are_many(), now);
+            known.turns.space(interval, senders.has_peers(), now);
         }
     }
 
@@ -178,7 +178,7 @@
     /// it, since daemons have just sent what they did not know of; daemons draw one each, so that together they
     /// send evenly.
     fn phase(&self, word: &Word) -> f64 {
-        if !self.senders.are_many() {
+        if !self.senders.has_peers() {
             return 1.0;
         }
         let mut hasher = DefaultHasher::new();
--- a/crates/core/src/throttle/table_tests.rs
+++ b/crates/core/src/throttle/table_tests.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 
 use super::{Change, RateLimit, Throttle, Word};
-use crate::{placement::Senders, units::Instant};
+use crate::{placement::SenderRole, units::Instant};
 
 fn ms(millis: u64) -> Instant {
     Instant(millis * 1_000)
@@ -27,7 +27,7 @@
 }
 
 fn scheduler() -> Throttle {
-    Throttle::new(Senders::Scheduler, 0)
+    Throttle::new(SenderRole::Scheduler, 0)
 }
 
 /// One that has learnt these answers in turn.
@@ -156,7 +156,7 @@
     const STEP_MS: u64 = 20;
     let mut all: Vec<Throttle> = (0..daemons)
         .map(|seed| {
-            let mut throttle = Throttle::new(Senders::daemons(daemons), seed);
+            let mut throttle = Throttle::new(SenderRole::one_of(daemons), seed);
             throttle.learn(word(Some(per_second), 0, 10), ms(10));
             throttle
         })
@@ -191,7 +191,7 @@
 
 #[gtest]
 fn a_daemon_that_does_not_know_how_many_they_are_sends_nothing() {
-    let mut throttle = Throttle::new(Senders::daemons(0), 1);
+    let mut throttle = Throttle::new(SenderRole::one_of(0), 1);
     throttle.learn(word(Some(3.0), 0, 10), ms(10));
 
     expect_false!((0..60_000).step_by(100).any(|at| throttle.takes("e", ms(at))));
--- a/crates/lab/src/fleet/deciders.rs
+++ b/crates/lab/src/fleet/deciders.rs
@@ -7,7 +7,7 @@
     mechanism::Disabled,
     placement::{
         Action, Drawn, ForecastPolicy, PrefixHash, Relocation, Request, Scheduler, SchedulerLimits,
-        Ticket, rank, reading_time,
+        Ticket, prefill_time, rank,
     },
     units::Instant,
 };
@@ -68,7 +68,7 @@
     /// The longest time that a request waits for a place.
     pub(super) fn longest_wait(&self, arrival: &Arrival) -> Duration {
         let within = KINDS[arrival.kind].target_latency.saturating_sub(WAY_BACK);
-        within.saturating_sub(reading_time(arrival.prompt))
+        within.saturating_sub(prefill_time(arrival.prompt))
     }
 
     pub(super) fn configure(&mut self, endpoints: &Endpoints, leaving: &[String]) {
@@ -265,7 +265,7 @@
         prompt_tokens: arrival.prompt,
         prefix: PrefixHash(i as u64),
         max_tokens: MAX_TOKENS,
-        max_wait: first_within.saturating_sub(reading_time(arrival.prompt)),
+        max_wait: first_within.saturating_sub(prefill_time(arrival.prompt)),
         first_within,
         avoid: Vec::new(),
         apart: false,
--- a/crates/lab/src/limits/ways.rs
+++ b/crates/lab/src/limits/ways.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 use trayswitch_core::{
-    placement::Senders,
+    placement::SenderRole,
     throttle::{Permit, PermitQueue, PermitRequest, RateLimit, Throttle, Word},
     units::Instant,
 };
@@ -74,8 +74,8 @@
         let names: Vec<Arc<str>> = (0..endpoints).map(|n| format!("e{n}").into()).collect();
         let of_one = |seed: usize| {
             let senders = match way {
-                Way::Shares => Senders::daemons(daemons as u64),
-                Way::Each | Way::Leases | Way::Asked => Senders::Scheduler,
+                Way::Shares => SenderRole::one_of(daemons as u64),
+                Way::Each | Way::Leases | Way::Asked => SenderRole::Scheduler,
             };
             let mut throttle = Throttle::new(senders, seed as u64);
             for endpoint in &names {
--- a/crates/server/src/relay/job.rs
+++ b/crates/server/src/relay/job.rs
@@ -125,7 +125,7 @@
         // As long as it can still begin to answer in time.
         let waited = self.arrived.elapsed() + WAY_BACK;
         let first_within = spec.target_latency.saturating_sub(waited);
-        let max_wait = first_within.saturating_sub(placement::reading_time(prompt.tokens));
+        let max_wait = first_within.saturating_sub(placement::prefill_time(prompt.tokens));
         placement::Request {
             ticket: Ticket { entry: 0, number: 0 },
             workspace: self.workspace.clone().unwrap_or_else(|| "-".into()),
--- a/crates/server/src/relay/loads.rs
+++ b/crates/server/src/relay/loads.rs
@@ -6,7 +6,7 @@
 use trayswitch_core::{
     config::ColdStart,
     mechanism::{Disabled, Mechanism},
-    placement::{Cold, Senders, cold_interval},
+    placement::{Cold, SenderRole, cold_interval},
     registry::Registered,
     units,
 };
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ColdRule {
     pub(super) bears: ColdStart,
-    pub(super) senders: Senders,
+    pub(super) senders: SenderRole,
     pub(super) now: units::Instant,
 }
 
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -40,7 +40,7 @@
     backoff::Refusals,
     error::{ErrorKind, RequestError},
     mechanism::{Disabled, Mechanism},
-    placement::Senders,
+    placement::SenderRole,
 };
 
 use self::{
@@ -167,7 +167,7 @@
     /// What cold endpoints of a request's service bear, if they bear less than others.
     fn cold_rule(&self, job: &Job) -> Option<ColdRule> {
         let service = job.config.config.services.get(&job.service)?;
-        let senders = Senders::daemons(self.node.view().daemons());
+        let senders = SenderRole::one_of(self.node.view().daemons());
         Some(ColdRule { bears: service.cold_start?, senders, now: self.node.now() })
     }
 
--- a/crates/server/src/relay/tests/cold.rs
+++ b/crates/server/src/relay/tests/cold.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use trayswitch_core::{
-    config::ColdStart, mechanism::Disabled, placement::Senders, registry::Registered,
+    config::ColdStart, mechanism::Disabled, placement::SenderRole, registry::Registered,
     units::Instant,
 };
 
@@ -31,7 +31,7 @@
 
 fn rule(daemons: u64, now: Instant) -> ColdRule {
     let bears = ColdStart { lasts: SECOND, interval: SECOND / BEARS };
-    ColdRule { bears, senders: Senders::daemons(daemons), now }
+    ColdRule { bears, senders: SenderRole::one_of(daemons), now }
 }
 
 /// Sends a request of a daemon, if it may send any; returns where.
