--- a/crates/core/src/placement/cold.rs
+++ b/crates/core/src/placement/cold_start.rs
@@ -24,20 +24,20 @@
 
 /// An endpoint that is cold, as one sender knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Cold {
+pub struct ColdPacer {
     until: Instant,
     /// When it may be sent the next request.
     next: Instant,
 }
 
-impl Cold {
+impl ColdPacer {
     /// One that is cold until then. Its first request is due after this part of `interval`.
-    pub fn new(until: Instant, interval: Duration, part: f64, now: Instant) -> Cold {
-        Cold { until, next: now.after(interval.mul_f64(part)) }
+    pub fn new(until: Instant, interval: Duration, phase: f64, now: Instant) -> ColdPacer {
+        ColdPacer { until, next: now.after(interval.mul_f64(phase)) }
     }
 
     /// Notes that it is cold for longer.
-    pub fn last(&mut self, until: Instant) {
+    pub fn extend(&mut self, until: Instant) {
         self.until = self.until.max(until);
     }
 
@@ -47,17 +47,17 @@
     }
 
     /// Whether it may be sent a request now.
-    pub fn takes_work(&self, now: Instant) -> bool {
+    pub fn may_send(&self, now: Instant) -> bool {
         self.is_over(now) || self.next <= now
     }
 
     /// When it may be sent a request, if that is not so already.
-    pub fn next(&self) -> Instant {
+    pub fn next_send_at(&self) -> Instant {
         self.next.min(self.until)
     }
 
     /// Notes that it was sent a request.
-    pub fn sent(&mut self, interval: Duration, now: Instant) {
+    pub fn on_sent(&mut self, interval: Duration, now: Instant) {
         self.next = self.next.max(now).after(interval);
     }
 }
--- a/crates/core/src/placement/endpoint.rs
+++ b/crates/core/src/placement/endpoint.rs
@@ -8,7 +8,7 @@
 
 use super::{
     PrefixHash, SenderRole, Ticket,
-    cold::{Cold, cold_interval},
+    cold_start::{ColdPacer, cold_interval},
     forecast::{HORIZONS, Survival},
     pace::Pace,
     reading::Reading,
@@ -111,7 +111,7 @@
     pub(crate) health: Health,
     /// Its data hall is out of service.
     out: bool,
-    cold: Option<Cold>,
+    cold: Option<ColdPacer>,
     /// Requests granted and not yet finished.
     pub(crate) running: u64,
     pub(crate) total: Share,
@@ -171,21 +171,21 @@
     pub(crate) fn set_cold(&mut self, until: Instant, by: SenderRole, part: f64, now: Instant) {
         let Some(bears) = self.spec.cold_start else { return };
         match &mut self.cold {
-            Some(cold) if !cold.is_over(now) => cold.last(until),
-            cold => *cold = Some(Cold::new(until, cold_interval(by, bears), part, now)),
+            Some(cold) if !cold.is_over(now) => cold.extend(until),
+            cold => *cold = Some(ColdPacer::new(until, cold_interval(by, bears), part, now)),
         }
     }
 
     /// Notes that a request is sent to it.
     pub(crate) fn note_sent(&mut self, by: SenderRole, now: Instant) {
         if let (Some(cold), Some(bears)) = (&mut self.cold, self.spec.cold_start) {
-            cold.sent(cold_interval(by, bears), now);
+            cold.on_sent(cold_interval(by, bears), now);
         }
     }
 
     /// When it may be sent the next request while it is cold.
     pub(crate) fn next_while_cold(&self) -> Option<Instant> {
-        self.cold.map(|cold| cold.next())
+        self.cold.map(|cold| cold.next_send_at())
     }
 
     pub(crate) fn set_out(&mut self, out: bool) {
@@ -207,7 +207,7 @@
     pub(crate) fn is_usable(&self, now: Instant) -> bool {
         match self.health {
             _ if self.out => false,
-            _ if self.cold.is_some_and(|cold| !cold.takes_work(now)) => false,
+            _ if self.cold.is_some_and(|cold| !cold.may_send(now)) => false,
             Health::Live => true,
             Health::Leaving => false,
             Health::Down(until) => until <= now,
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -12,9 +12,9 @@
 mod backoff;
 #[cfg(test)]
 mod backoff_tests;
-mod cold;
+mod cold_start;
 #[cfg(test)]
-mod cold_tests;
+mod cold_start_tests;
 mod endpoint;
 mod endpoint_news;
 mod evacuation;
@@ -54,7 +54,7 @@
 pub(crate) use self::sender_role::RateSplit;
 pub use self::{
     alone::{Candidate, Drawn, EngineLoad, sort},
-    cold::{Cold, cold_interval},
+    cold_start::{ColdPacer, cold_interval},
     endpoint::{EndpointState, Health, LoadReport},
     evacuation::Relocation,
     forecast::{HORIZONS, LengthForecast, Survival},
--- a/crates/server/src/relay/loads.rs
+++ b/crates/server/src/relay/loads.rs
@@ -6,7 +6,7 @@
 use trayswitch_core::{
     config::ColdStart,
     mechanism::{Disabled, Mechanism},
-    placement::{Cold, SenderRole, cold_interval},
+    placement::{ColdPacer, SenderRole, cold_interval},
     registry::Registered,
     units,
 };
@@ -34,7 +34,7 @@
     closed_until: Option<Instant>,
     /// When it may be tried again after it has not answered: it may have started anew.
     retried: Option<Instant>,
-    cold: Option<Cold>,
+    cold: Option<ColdPacer>,
 }
 
 /// What cold endpoints of a service bear, and with how many daemons this one shares it.
@@ -67,10 +67,10 @@
             return true;
         };
         match &mut self.cold {
-            Some(cold) => cold.last(until),
-            cold => *cold = Some(Cold::new(until, rule.interval(), fastrand::f64(), now)),
+            Some(cold) => cold.extend(until),
+            cold => *cold = Some(ColdPacer::new(until, rule.interval(), fastrand::f64(), now)),
         }
-        self.cold.is_none_or(|cold| cold.takes_work(now))
+        self.cold.is_none_or(|cold| cold.may_send(now))
     }
 
     /// Until when it is cold: by its own word, or since it may have started anew when it failed.
@@ -178,7 +178,7 @@
         let load = load_of(&mut loads, id);
         load.running += 1;
         if let (Some(cold), Some(rule)) = (&mut load.cold, rule) {
-            cold.sent(rule.interval(), rule.now);
+            cold.on_sent(rule.interval(), rule.now);
         }
         Running { loads: self.clone(), id: id.clone() }
     }
