--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -10,7 +10,7 @@
     backoff::Rejection,
     error::RequestError,
     once::{Claim, ClaimResult, Settle},
-    placement::{Drawn, Request},
+    placement::{Request, SampledEndpoint},
     quarantine::{RequestDigest, Suspect},
     registry::Registered,
     state::{ChangeId, HallOrder, HallResult, HallsOut},
@@ -89,7 +89,7 @@
     pub priority: u64,
     /// The endpoints that this daemon has drawn at random, the one above among them, while no
     /// scheduler answers; none where a scheduler has granted the place.
-    pub drawn: Vec<Drawn>,
+    pub drawn: Vec<SampledEndpoint>,
 }
 
 impl Placement {
--- a/crates/core/src/node/placing/local.rs
+++ b/crates/core/src/node/placing/local.rs
@@ -56,7 +56,7 @@
                         out.send(scheduler, Body::Admit(running.admit(call)));
                     }
                     self.running.insert(call, running);
-                    let drawn = self.local.drawn_for(ticket, now);
+                    let drawn = self.local.sampled_endpoints(ticket, now);
                     let placement = Placement { endpoint, priority, drawn };
                     out.reply(call, NodeReply::Placed(Ok(placement)));
                 }
--- a/crates/core/src/node/placing/mod.rs
+++ b/crates/core/src/node/placing/mod.rs
@@ -2,7 +2,7 @@
 //! scheduler answers.
 //!
 //! The fallback knows only what runs here. It draws two endpoints at random for each request; which
-//! of them takes it they are asked themselves (see [`crate::placement::order`]).
+//! of them takes it they are asked themselves (see [`crate::placement::sort_by_cost`]).
 
 mod backoff;
 mod local;
@@ -87,7 +87,7 @@
     /// Without requests or endpoints; the seed must be another on each daemon.
     pub(crate) fn new(disabled: Disabled, seed: u64) -> Placing {
         Placing {
-            local: Scheduler::alone(disabled, seed),
+            local: Scheduler::local(disabled, seed),
             endpoints: Endpoints::new(),
             scheduler: None,
             waiting: BTreeMap::new(),
--- a/crates/core/src/placement/cold_start_tests.rs
+++ b/crates/core/src/placement/cold_start_tests.rs
@@ -168,7 +168,7 @@
     let halls = vec!["a"; endpoints];
     let mut alone: Vec<Scheduler> = (0..daemons)
         .map(|daemon| {
-            let mut scheduler = Scheduler::alone(Disabled::default(), seed * 1_000 + daemon);
+            let mut scheduler = Scheduler::local(Disabled::default(), seed * 1_000 + daemon);
             scheduler.set_sender_role(SenderRole::one_of(daemons), ms(0));
             scheduler.configure(&cold_engines(&halls));
             for n in 0..endpoints {
--- a/crates/core/src/placement/alone.rs
+++ b/crates/core/src/placement/engine_choice.rs
@@ -34,12 +34,12 @@
     /// Its memory, in tokens.
     pub kv_tokens: u64,
     /// When the run that tells it was started; zero where engines do not tell.
-    pub born: u64,
+    pub started_at: u64,
 }
 
 /// An engine that a daemon has drawn.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Drawn {
+pub struct SampledEndpoint {
     /// Its name.
     pub endpoint: Arc<str>,
     /// How many times as long as others it takes, as far as a scheduler has told.
@@ -69,11 +69,11 @@
 }
 
 /// An engine that was drawn, and its load if it tells.
-pub type Candidate = (Drawn, Option<EngineLoad>);
+pub type Candidate = (SampledEndpoint, Option<EngineLoad>);
 
 /// Brings engines into the order in which to ask them for a place: the better one first. One whose
 /// load is not known comes before those that are full.
-pub fn sort(candidates: &mut [Candidate], prompt_tokens: u64) {
+pub fn sort_by_cost(candidates: &mut [Candidate], prompt_tokens: u64) {
     let key = |(drawn, load): &Candidate| match load {
         Some(load) => {
             (load.is_full(prompt_tokens), false, load.cost(prompt_tokens, drawn.slowness))
--- a/crates/core/src/placement/alone_tests.rs
+++ b/crates/core/src/placement/engine_choice_tests.rs
@@ -5,9 +5,9 @@
 use googletest::prelude::*;
 
 use super::{
-    Action, Candidate, Drawn, EngineLoad, Scheduler,
+    Action, Candidate, EngineLoad, SampledEndpoint, Scheduler,
     fixture::{engines, ms, request, scheduler},
-    sort,
+    sort_by_cost,
 };
 use crate::mechanism::Disabled;
 
@@ -18,7 +18,14 @@
 const MEMORY: u64 = 33_640;
 
 fn load(unread_tokens: u64, kv_used: u64) -> Option<EngineLoad> {
-    Some(EngineLoad { running: 3, waiting: 0, unread_tokens, kv_used, kv_tokens: MEMORY, born: 0 })
+    Some(EngineLoad {
+        running: 3,
+        waiting: 0,
+        unread_tokens,
+        kv_used,
+        kv_tokens: MEMORY,
+        started_at: 0,
+    })
 }
 
 /// The engines that daemons which know nothing of each other choose for one prompt each.
@@ -26,7 +33,7 @@
     let halls = vec!["h"; ENGINES];
     let mut chosen = BTreeMap::new();
     for daemon in 0..DAEMONS {
-        let mut scheduler = Scheduler::alone(Disabled::default(), daemon);
+        let mut scheduler = Scheduler::local(Disabled::default(), daemon);
         scheduler.configure(&engines(&halls, MEMORY));
         scheduler.arrive(request(daemon, 3_000, 1_100), ms(1)).unwrap();
         let actions = scheduler.decide(ms(1));
@@ -48,14 +55,14 @@
 
 #[gtest]
 fn the_other_choice_is_another_engine() {
-    let mut scheduler = Scheduler::alone(Disabled::default(), 7);
+    let mut scheduler = Scheduler::local(Disabled::default(), 7);
     scheduler.configure(&engines(&["h", "h"], MEMORY));
     let req = request(1, 3_000, 1_100);
     let ticket = req.ticket;
     scheduler.arrive(req, ms(1)).unwrap();
     scheduler.decide(ms(1));
 
-    let drawn = scheduler.drawn_for(ticket, ms(1));
+    let drawn = scheduler.sampled_endpoints(ticket, ms(1));
 
     expect_that!(drawn.len(), eq(2));
     expect_that!(drawn[0].endpoint, not(eq(&drawn[1].endpoint)));
@@ -63,7 +70,7 @@
 
 #[gtest]
 fn a_slow_engine_is_drawn_less_often() {
-    let mut scheduler = Scheduler::alone(Disabled::default(), 7);
+    let mut scheduler = Scheduler::local(Disabled::default(), 7);
     scheduler.configure(&engines(&["h", "h", "h"], MEMORY));
     scheduler.endpoint_slow("e0", 3.0, ms(1));
     let mut drawn_slow = 0;
@@ -72,7 +79,7 @@
         let ticket = req.ticket;
         scheduler.arrive(req, ms(1)).unwrap();
         scheduler.decide(ms(1));
-        let drawn = scheduler.drawn_for(ticket, ms(1));
+        let drawn = scheduler.sampled_endpoints(ticket, ms(1));
         drawn_slow += drawn.iter().filter(|drawn| &*drawn.endpoint == "e0").count();
         scheduler.cancel(ticket, ms(1));
     }
@@ -85,10 +92,10 @@
 fn order(engines: &[(Option<EngineLoad>, f64)]) -> Vec<usize> {
     let candidate = |(at, (load, slowness)): (usize, &(Option<EngineLoad>, f64))| {
         let endpoint = at.to_string().into();
-        (Drawn { endpoint, slowness: *slowness }, *load)
+        (SampledEndpoint { endpoint, slowness: *slowness }, *load)
     };
     let mut candidates: Vec<Candidate> = engines.iter().enumerate().map(candidate).collect();
-    sort(&mut candidates, 3_000);
+    sort_by_cost(&mut candidates, 3_000);
     candidates.iter().map(|(drawn, _)| drawn.endpoint.parse().unwrap()).collect()
 }
 
--- a/crates/core/src/placement/hall_tests.rs
+++ b/crates/core/src/placement/hall_tests.rs
@@ -101,13 +101,13 @@
 
 #[gtest]
 fn a_daemon_alone_draws_nothing_in_a_hall_that_is_out() {
-    let mut scheduler = Scheduler::alone(Disabled::default(), 3);
+    let mut scheduler = Scheduler::local(Disabled::default(), 3);
     scheduler.configure(&super::fixture::engines(&["a", "b", "a"], 34_000));
     scheduler.take_halls_out(&halls_out(1, &["a"]));
 
     scheduler.arrive(request(1, 500, 100), ms(1)).unwrap();
     scheduler.decide(ms(1));
-    let drawn = scheduler.drawn_for(Ticket { entry: 1, number: 1 }, ms(1));
+    let drawn = scheduler.sampled_endpoints(Ticket { entry: 1, number: 1 }, ms(1));
 
     let names: Vec<&str> = drawn.iter().map(|drawn| &*drawn.endpoint).collect();
     expect_that!(names, elements_are![eq(&"e1")]);
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -3,9 +3,6 @@
 //! [`Scheduler`] keeps the queue, the endpoints and the running streams of its
 //! targets. It is soft state: it can be rebuilt from what daemons report.
 
-mod alone;
-#[cfg(test)]
-mod alone_tests;
 mod apart;
 #[cfg(test)]
 mod apart_tests;
@@ -17,6 +14,9 @@
 mod cold_start_tests;
 mod endpoint;
 mod endpoint_news;
+mod engine_choice;
+#[cfg(test)]
+mod engine_choice_tests;
 mod evacuation;
 #[cfg(test)]
 mod evacuation_tests;
@@ -53,12 +53,14 @@
 
 pub(crate) use self::sender_role::RateSplit;
 pub use self::{
-    alone::{Candidate, Drawn, EngineLoad, sort},
     cold_start::{ColdPacer, cold_interval},
     endpoint::{EndpointState, Health, LoadReport},
+    engine_choice::{Candidate, EngineLoad, SampledEndpoint, sort_by_cost},
     evacuation::Relocation,
     forecast::{HORIZONS, LengthForecast, Survival},
-    policy::{FirstFit, ForecastPolicy, LeastOutstanding, Policy, RoundRobin, TwoDrawn, Work},
+    policy::{
+        FirstFit, ForecastPolicy, LeastOutstanding, Policy, PowerOfTwoChoices, RoundRobin, Work,
+    },
     reading::prefill_time,
     scheduler::{Scheduler, SchedulerLimits},
     sender_role::SenderRole,
--- a/crates/core/src/placement/policy/mod.rs
+++ b/crates/core/src/placement/policy/mod.rs
@@ -2,14 +2,14 @@
 
 mod baselines;
 mod forecast;
-mod two_drawn;
+mod power_of_two;
 
 use std::time::Duration;
 
 pub use self::{
     baselines::{FirstFit, LeastOutstanding, RoundRobin},
     forecast::ForecastPolicy,
-    two_drawn::TwoDrawn,
+    power_of_two::PowerOfTwoChoices,
 };
 use super::{
     PrefixHash, Request,
--- a/crates/core/src/placement/policy/two_drawn.rs
+++ b/crates/core/src/placement/policy/power_of_two.rs
@@ -10,21 +10,24 @@
 /// Draws two of the endpoints that have room and lets another policy choose between them. Many
 /// daemons with equal knowledge then choose apart from each other.
 #[derive(Debug)]
-pub struct TwoDrawn {
+pub struct PowerOfTwoChoices {
     inner: ForecastPolicy,
     rng: fastrand::Rng,
 }
 
-impl TwoDrawn {
+impl PowerOfTwoChoices {
     /// The policy without these mechanisms; the seed must be another on each daemon.
-    pub fn without(disabled: Disabled, seed: u64) -> TwoDrawn {
+    pub fn without(disabled: Disabled, seed: u64) -> PowerOfTwoChoices {
         // Slow endpoints are drawn less often; left to the choice, the others would get nearly all.
         let by_room = disabled.with(Mechanism::ReadingAvoidance).with(Mechanism::Pace);
-        TwoDrawn { inner: ForecastPolicy::without(by_room), rng: fastrand::Rng::with_seed(seed) }
+        PowerOfTwoChoices {
+            inner: ForecastPolicy::without(by_room),
+            rng: fastrand::Rng::with_seed(seed),
+        }
     }
 }
 
-impl Policy for TwoDrawn {
+impl Policy for PowerOfTwoChoices {
     fn name(&self) -> &'static str {
         "two-drawn"
     }
--- a/crates/core/src/placement/scheduler.rs
+++ b/crates/core/src/placement/scheduler.rs
@@ -7,7 +7,7 @@
 };
 
 use super::{
-    Action, Drawn, Request, SenderRole, Ticket,
+    Action, Request, SampledEndpoint, SenderRole, Ticket,
     apart::Apart,
     backoff::{Candidates, Held},
     endpoint::{EndpointState, Share},
@@ -16,7 +16,7 @@
     giving_up::overloaded,
     handover::Handover,
     pace::PaceMeter,
-    policy::{ForecastPolicy, Policy, TwoDrawn, Work},
+    policy::{ForecastPolicy, Policy, PowerOfTwoChoices, Work},
     target::Target,
 };
 use crate::{
@@ -171,10 +171,10 @@
 
     /// The scheduler of a daemon for its own requests while no other answers; the seed must be
     /// another on each daemon. It hands nothing over: it does not know what engines read.
-    pub fn alone(disabled: Disabled, seed: u64) -> Scheduler {
+    pub fn local(disabled: Disabled, seed: u64) -> Scheduler {
         let disabled = disabled.with(Mechanism::Handover);
         let limits = SchedulerLimits { disabled, ..SchedulerLimits::default() };
-        let policy = Box::new(TwoDrawn::without(disabled, seed));
+        let policy = Box::new(PowerOfTwoChoices::without(disabled, seed));
         let senders = SenderRole::one_of(0);
         let (samples, alone) = (seed as usize, Some(seed));
         let throttle = Throttle::new(senders, seed);
@@ -182,12 +182,12 @@
     }
 
     /// The endpoint of a request that was placed, and another one with room if there is any.
-    pub fn drawn_for(&mut self, ticket: Ticket, now: Instant) -> Vec<Drawn> {
+    pub fn sampled_endpoints(&mut self, ticket: Ticket, now: Instant) -> Vec<SampledEndpoint> {
         let first = self.placed.get(&ticket).map(|placed| placed.endpoint.clone());
         let other = self.another_for(ticket, now);
         let drawn = |endpoint: Arc<str>| {
             let slowness = self.endpoints.get(&endpoint).map_or(1.0, |e| e.told_slowness(now));
-            Drawn { endpoint, slowness }
+            SampledEndpoint { endpoint, slowness }
         };
         first.into_iter().chain(other).map(drawn).collect()
     }
--- a/crates/lab/src/fleet/deciders.rs
+++ b/crates/lab/src/fleet/deciders.rs
@@ -6,8 +6,8 @@
     config::{EndpointTarget, Endpoints},
     mechanism::Disabled,
     placement::{
-        Action, Drawn, ForecastPolicy, PrefixHash, Relocation, Request, Scheduler, SchedulerLimits,
-        Ticket, prefill_time, rank,
+        Action, ForecastPolicy, PrefixHash, Relocation, Request, SampledEndpoint, Scheduler,
+        SchedulerLimits, Ticket, prefill_time, rank,
     },
     units::Instant,
 };
@@ -28,7 +28,7 @@
 /// A place that an entry has found by itself.
 pub(super) struct Grant {
     /// The engines that were drawn.
-    pub(super) drawn: Vec<Drawn>,
+    pub(super) drawn: Vec<SampledEndpoint>,
     pub(super) priority: u64,
 }
 
@@ -48,7 +48,7 @@
         let FleetOptions { alone, entries, disabled, .. } = *options;
         let own = |entry: u64| match alone {
             Alone::Share => by_forecast(disabled),
-            _ => Scheduler::alone(disabled, seed << 32 | entry),
+            _ => Scheduler::local(disabled, seed << 32 | entry),
         };
         Deciders {
             alone,
@@ -171,7 +171,7 @@
         for action in own.decide(now) {
             match action {
                 Action::Start { ticket: started, priority, .. } if started == ticket => {
-                    return Some(Grant { drawn: own.drawn_for(ticket, now), priority });
+                    return Some(Grant { drawn: own.sampled_endpoints(ticket, now), priority });
                 }
                 Action::Start { ticket, .. } => own.cancel(ticket, now),
                 Action::GiveUp { .. } => {}
--- a/crates/lab/src/fleet/engines.rs
+++ b/crates/lab/src/fleet/engines.rs
@@ -132,7 +132,7 @@
             unread_tokens: self.engine.unread(),
             kv_used: self.engine.kv_used(),
             kv_tokens: SPEC.kv_tokens,
-            born: 0,
+            started_at: 0,
         };
         self.loads.push_back((now, load));
         if KEPT < self.loads.len() {
--- a/crates/lab/src/fleet/sim.rs
+++ b/crates/lab/src/fleet/sim.rs
@@ -7,7 +7,7 @@
 };
 
 use trayswitch_core::{
-    placement::{Action, Candidate, Drawn, Relocation, sort},
+    placement::{Action, Candidate, Relocation, SampledEndpoint, sort_by_cost},
     units::Instant,
 };
 
@@ -252,18 +252,23 @@
     }
 
     /// The engines that were drawn in the order in which to try them, by what is known of their loads.
-    fn candidates(&self, drawn: Vec<Drawn>, prompt: u64, inquired: bool) -> Vec<Candidate> {
+    fn candidates(
+        &self,
+        drawn: Vec<SampledEndpoint>,
+        prompt: u64,
+        inquired: bool,
+    ) -> Vec<Candidate> {
         let known = match (self.options.alone, self.options.lost) {
             (Alone::LastKnown, Some((lost, _))) => lost.as_micros() as u64,
             _ => self.now.saturating_sub(REPORT_AGE),
         };
-        let load = |drawn: Drawn| {
+        let load = |drawn: SampledEndpoint| {
             let load = self.engines[self.by_name[&*drawn.endpoint]].load_at(known);
             (drawn, load)
         };
         let mut candidates: Vec<Candidate> = drawn.into_iter().map(load).collect();
         if inquired {
-            sort(&mut candidates, prompt);
+            sort_by_cost(&mut candidates, prompt);
         }
         candidates
     }
--- a/crates/server/src/relay/unscheduled.rs
+++ b/crates/server/src/relay/unscheduled.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 use trayswitch_core::{
     node::Input,
-    placement::{Candidate, Drawn, EngineLoad, sort},
+    placement::{Candidate, EngineLoad, SampledEndpoint, sort_by_cost},
     wire::HealthNews,
 };
 
@@ -50,10 +50,11 @@
         return Ok(None);
     }
     let prompt = job.caller.prompt.as_ref().map_or(0, |prompt| prompt.tokens);
-    let ask = async |drawn: &Drawn| (drawn.clone(), load_of(relay, &drawn.endpoint).await);
+    let ask =
+        async |drawn: &SampledEndpoint| (drawn.clone(), load_of(relay, &drawn.endpoint).await);
     let mut candidates: Vec<Candidate> = join_all(placed.drawn().iter().map(ask)).await;
-    sort(&mut candidates, prompt);
-    for (Drawn { endpoint, .. }, load) in &candidates {
+    sort_by_cost(&mut candidates, prompt);
+    for (SampledEndpoint { endpoint, .. }, load) in &candidates {
         let reserved = match load {
             Some(load) if !load.is_tight(prompt) => Reserved::Unneeded,
             _ => reserve(relay, job, endpoint, prompt.saturating_add(FIRST_TOKENS)).await,
@@ -87,7 +88,7 @@
     let (head, body) = ask(relay, endpoint, relay.protocol.load_request()).await?;
     let load = relay.protocol.read_load(&head, &body)?;
     let known = relay.node.view().endpoint(endpoint)?.born;
-    let is_other = 0 < known && 0 < load.born && known != load.born;
+    let is_other = 0 < known && 0 < load.started_at && known != load.started_at;
     (!is_other).then_some(load)
 }
 
--- a/crates/server/src/runtime/placed.rs
+++ b/crates/server/src/runtime/placed.rs
@@ -5,7 +5,7 @@
 use tokio::sync::mpsc;
 use trayswitch_core::{
     node::{CallId, Input, Placement},
-    placement::Drawn,
+    placement::SampledEndpoint,
 };
 
 use super::NodeHandle;
@@ -49,7 +49,7 @@
     }
 
     /// The endpoints that this daemon has drawn by itself, if no scheduler has granted the place.
-    pub fn drawn(&self) -> &[Drawn] {
+    pub fn drawn(&self) -> &[SampledEndpoint] {
         self.placement.as_ref().map_or(&[], |placement| &placement.drawn)
     }
 
