--- /dev/null
+++ b/crates/core/src/node/failed_attempt.rs
@@ -0,0 +1,44 @@
+//! Attempts that failed before the answer was complete, as the relay reports them.
+
+use std::sync::Arc;
+
+use super::CallId;
+use crate::{
+    quarantine::RequestDigest,
+    registry::{Registry, RunState},
+};
+
+/// Result of connecting to an endpoint's address after an attempt there failed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ProbeOutcome {
+    /// Nothing listens there any more.
+    ConnectionRefused,
+    /// The connection was accepted: only this request failed, or the endpoint has restarted.
+    Connected,
+    /// The probe timed out.
+    NoAnswer,
+}
+
+/// An attempt that failed before the answer was complete.
+#[derive(Debug, Clone)]
+pub struct FailedAttempt {
+    /// The request.
+    pub request: RequestDigest,
+    /// Name of the endpoint.
+    pub endpoint: Arc<str>,
+    /// When the endpoint's process was started, as it reports itself; zero if it does not. `None`
+    /// for an endpoint that the configuration lists, since those send no heartbeats.
+    pub started_at: Option<u64>,
+    /// Result of the probe after the failure.
+    pub probe: ProbeOutcome,
+    /// The quarantine trial that this attempt was, if any.
+    pub trial: Option<CallId>,
+}
+
+impl FailedAttempt {
+    /// State of the endpoint's process according to the registry; `None` if the configuration lists
+    /// the endpoint.
+    pub(super) fn run_state(&self, registry: &Registry) -> Option<RunState> {
+        Some(registry.run_state(&self.endpoint, self.started_at?))
+    }
+}
--- a/crates/core/src/node/inputs.rs
+++ b/crates/core/src/node/inputs.rs
@@ -38,7 +38,7 @@
             Input::Health(endpoint, news) => {
                 self.placing.health(&endpoint, news, clocks.now, true, out);
             }
-            Input::BrokeOff(broke_off) => {
+            Input::FailedAttempt(broke_off) => {
                 let (suspects, mut cx, out) = self.suspects_context(clocks);
                 suspects.broke_off(broke_off, &mut cx, out);
             }
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use super::{BrokeOff, ControlStatus, EndpointStatus, Entries, InForce, TrialAnswer, VmName};
+use super::{ControlStatus, EndpointStatus, Entries, FailedAttempt, InForce, TrialAnswer, VmName};
 use crate::{
     agreement::Persist,
     backoff::Rejection,
@@ -171,7 +171,7 @@
     /// The asker of a placement has left.
     Cancelled(CallId),
     /// An attempt at an endpoint broke off.
-    BrokeOff(BrokeOff),
+    FailedAttempt(FailedAttempt),
     /// A request that may be a suspect has brought its whole answer, in a try that was no trial.
     AnsweredWhole(RequestDigest),
     /// A trial has begun to answer well.
@@ -241,7 +241,7 @@
             Input::Progress(..) => "own_progress",
             Input::Finished { .. } => "finished",
             Input::Cancelled(_) => "cancelled",
-            Input::BrokeOff(_) => "broke_off",
+            Input::FailedAttempt(_) => "broke_off",
             Input::AnsweredWhole(_) => "answered_whole",
             Input::TrialBegun(_) => "trial_begun",
             Input::TrialOver { .. } => "own_trial_over",
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -15,7 +15,6 @@
 
 mod admit;
 mod broadcast;
-mod broke_off;
 mod changes;
 #[cfg(test)]
 mod changes_tests;
@@ -29,6 +28,7 @@
 mod endpoint_tests;
 mod endpoints;
 mod engines;
+mod failed_attempt;
 mod fetching;
 mod holder;
 #[cfg(test)]
@@ -87,9 +87,9 @@
 
 pub(crate) use self::messages::Outbox;
 pub use self::{
-    broke_off::{AfterBreak, BrokeOff},
     control::{ControlStatus, DaemonStatus, ReplicaStatus},
     endpoints::EndpointStatus,
+    failed_attempt::{FailedAttempt, ProbeOutcome},
     holder::InForce,
     keeper::Entries,
     messages::{CallId, Input, NodeCall, NodeReply, Output, Placement, SentChange, SubmitError},
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspects.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 
 use super::{
-    AfterBreak, BrokeOff, CallId, NodeReply, Outbox, Output, VmName, operations::Operations,
+    CallId, FailedAttempt, NodeReply, Outbox, Output, ProbeOutcome, VmName, operations::Operations,
 };
 use crate::{
     quarantine::{ClearRequest, EndedRun, EndedUnder, Known, RequestDigest, Standing},
@@ -40,15 +40,15 @@
     /// It may, as the only try, and apart from other requests if so. Its end is told with
     /// [`super::Input::TrialOver`].
     Granted {
-        /// Whether it runs apart.
-        apart: bool,
+        /// Whether it must run without other requests on the endpoint.
+        isolated: bool,
     },
     /// It is no suspect any more.
     Clear,
     /// It is sent to no endpoint.
     Quarantined,
     /// Others wait for the same, or no leader answers.
-    NotNow,
+    Unavailable,
 }
 
 /// A try that waits for the leader's answer.
@@ -80,7 +80,7 @@
 /// An attempt that broke off at an endpoint that may have ended.
 #[derive(Debug)]
 struct Unclear {
-    broke_off: BrokeOff,
+    broke_off: FailedAttempt,
     until: Instant,
 }
 
@@ -148,14 +148,14 @@
     /// An attempt here broke off.
     pub(super) fn broke_off(
         &mut self,
-        broke_off: BrokeOff,
+        broke_off: FailedAttempt,
         cx: &mut Context<'_>,
         out: &mut Outbox,
     ) {
-        match (broke_off.run_state(cx.registry), broke_off.after) {
+        match (broke_off.run_state(cx.registry), broke_off.probe) {
             // What runs at an endpoint that leaves may end with it, as its callers were told.
             (Some(RunState::Left), _) => {}
-            (_, AfterBreak::Refused) | (Some(RunState::Ended), _) => {
+            (_, ProbeOutcome::ConnectionRefused) | (Some(RunState::Ended), _) => {
                 self.ended(&broke_off, cx, out);
             }
             // Nobody will tell what became of it.
@@ -171,11 +171,12 @@
     }
 
     /// Puts on record that an endpoint has ended under a request.
-    fn ended(&mut self, broke_off: &BrokeOff, cx: &mut Context<'_>, out: &mut Outbox) {
-        let BrokeOff { request, endpoint, born, trial, .. } = broke_off;
+    fn ended(&mut self, broke_off: &FailedAttempt, cx: &mut Context<'_>, out: &mut Outbox) {
+        let FailedAttempt { request, endpoint, started_at, trial, .. } = broke_off;
         let in_trial = trial.is_some();
-        let seen_ms = if born.is_some() { 0 } else { cx.wall.0 };
-        let run = EndedRun { endpoint: endpoint.to_string(), born: born.unwrap_or(0), seen_ms };
+        let seen_ms = if started_at.is_some() { 0 } else { cx.wall.0 };
+        let run =
+            EndedRun { endpoint: endpoint.to_string(), born: started_at.unwrap_or(0), seen_ms };
         let ended = EndedUnder { run, request: bytes_of(request), in_trial };
         let kind = OperationKind::Ended(ended);
         let number = cx.operations.carry(kind, TELL_LIMIT, cx.leader, cx.now, out);
@@ -243,7 +244,7 @@
             TrialStatus::Granted => {
                 let running = Running { request: asking.request, begun: false };
                 self.running.insert(call, running);
-                TrialAnswer::Granted { apart: reply.apart }
+                TrialAnswer::Granted { isolated: reply.apart }
             }
             TrialStatus::Quarantined => TrialAnswer::Quarantined,
             TrialStatus::Clear => {
@@ -251,7 +252,7 @@
                 self.tell_counts(out);
                 TrialAnswer::Clear
             }
-            TrialStatus::Busy => TrialAnswer::NotNow,
+            TrialStatus::Busy => TrialAnswer::Unavailable,
         };
         out.reply(call, NodeReply::Trial(answer));
     }
@@ -332,7 +333,7 @@
         for call in over.map(|(call, _)| *call).collect::<Vec<_>>() {
             self.asking.remove(&call);
             tell_over(call, cx.leader, out);
-            out.reply(call, NodeReply::Trial(TrialAnswer::NotNow));
+            out.reply(call, NodeReply::Trial(TrialAnswer::Unavailable));
         }
     }
 
--- a/crates/core/src/node/suspects_tests.rs
+++ b/crates/core/src/node/suspects_tests.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 
 use super::{
-    AfterBreak, BrokeOff, Outbox, Output,
+    FailedAttempt, Outbox, Output, ProbeOutcome,
     operations::Operations,
     suspects::{Context, Suspects},
 };
@@ -36,11 +36,11 @@
             registry: Registry::new(HEARTBEAT),
             out: Outbox::default(),
         };
-        let broke_off = BrokeOff {
+        let broke_off = FailedAttempt {
             request: RequestDigest::from_slice(&REQUEST).unwrap(),
             endpoint: "e".into(),
-            born: Some(0),
-            after: AfterBreak::Refused,
+            started_at: Some(0),
+            probe: ProbeOutcome::ConnectionRefused,
             trial: None,
         };
         daemon.with(|suspects, cx, out| suspects.broke_off(broke_off, cx, out));
--- a/crates/core/src/node/tests/suspects.rs
+++ b/crates/core/src/node/tests/suspects.rs
@@ -13,7 +13,7 @@
     small,
 };
 use crate::{
-    node::{AfterBreak, BrokeOff, CallId, Input, NodeCall, TrialAnswer, VmName},
+    node::{CallId, FailedAttempt, Input, NodeCall, ProbeOutcome, TrialAnswer, VmName},
     quarantine::{RequestDigest, Standing},
     testing::fixed_seed,
     wire::EndpointRecord,
@@ -35,14 +35,14 @@
 
 /// An endpoint of this name ends under the deadly request at a VM.
 pub(super) fn ends(net: &mut Net, vm: &VmName, endpoint: &str, trial: Option<CallId>) {
-    let broke_off = BrokeOff {
+    let broke_off = FailedAttempt {
         request: deadly(),
         endpoint: endpoint.into(),
-        born: Some(0),
-        after: AfterBreak::Refused,
+        started_at: Some(0),
+        probe: ProbeOutcome::ConnectionRefused,
         trial,
     };
-    net.handle(vm, Input::BrokeOff(broke_off));
+    net.handle(vm, Input::FailedAttempt(broke_off));
 }
 
 /// Asks for a trial at a VM.
@@ -152,7 +152,7 @@
     let call = ask(&mut net, &"vm-4".into());
     net.wait(110);
 
-    expect_that!(net.seen.trials.get(&call), some(eq(&TrialAnswer::NotNow)));
+    expect_that!(net.seen.trials.get(&call), some(eq(&TrialAnswer::Unavailable)));
 }
 
 #[gtest]
@@ -163,7 +163,7 @@
     let first = ask(&mut net, &"vm-4".into());
     let second = ask(&mut net, &"vm-5".into());
     net.wait(10);
-    let granted = TrialAnswer::Granted { apart: false };
+    let granted = TrialAnswer::Granted { isolated: false };
     expect_that!(net.seen.trials.get(&first), some(eq(&granted)));
     expect_that!(net.seen.trials.get(&second), none());
 
@@ -206,10 +206,11 @@
     net.wait(5);
 }
 
-fn breaks_off(net: &mut Net, after: AfterBreak) {
+fn breaks_off(net: &mut Net, probe: ProbeOutcome) {
     let endpoint = "i-1".into();
-    let broke_off = BrokeOff { request: deadly(), endpoint, born: Some(0), after, trial: None };
-    net.handle(&"vm-4".into(), Input::BrokeOff(broke_off));
+    let broke_off =
+        FailedAttempt { request: deadly(), endpoint, started_at: Some(0), probe, trial: None };
+    net.handle(&"vm-4".into(), Input::FailedAttempt(broke_off));
 }
 
 #[gtest]
@@ -217,7 +218,7 @@
     let mut net = running(&small(), 9);
     heartbeat(&mut net, "i-1", 1, true);
 
-    breaks_off(&mut net, AfterBreak::Refused);
+    breaks_off(&mut net, ProbeOutcome::ConnectionRefused);
     net.wait(10);
 
     expect_that!(net.standing(&"vm-4".into(), &deadly()), some(eq(Standing::default())));
@@ -228,7 +229,7 @@
     let mut net = running(&small(), 10);
     heartbeat(&mut net, "i-1", 1, false);
 
-    breaks_off(&mut net, AfterBreak::Taken);
+    breaks_off(&mut net, ProbeOutcome::Connected);
     for sequence in 2..12 {
         heartbeat(&mut net, "i-1", sequence, false);
         net.wait(45);
@@ -242,7 +243,7 @@
     let mut net = running(&small(), 11);
     heartbeat(&mut net, "i-1", 1, false);
 
-    breaks_off(&mut net, AfterBreak::Silent);
+    breaks_off(&mut net, ProbeOutcome::NoAnswer);
     let before = net.standing(&"vm-4".into(), &deadly());
     for sequence in 2..12 {
         heartbeat(&mut net, "i-2", sequence, false);
--- a/crates/server/src/relay/ended.rs
+++ b/crates/server/src/relay/ended.rs
@@ -14,7 +14,7 @@
     time::{Instant, timeout, timeout_at},
 };
 use trayswitch_core::{
-    node::{AfterBreak, BrokeOff, Input},
+    node::{FailedAttempt, Input, ProbeOutcome},
     registry::Registered,
 };
 
@@ -57,7 +57,7 @@
             "an attempt broke off"
         );
         let broke_off = self.describe(job, turn, endpoint, after);
-        self.node.input(Input::BrokeOff(broke_off.clone()));
+        self.node.input(Input::FailedAttempt(broke_off.clone()));
         let Some(connection) = connection else { return };
         // Without a permit there are many already.
         let Ok(permit) = self.watched.clone().try_acquire_owned() else { return };
@@ -78,13 +78,13 @@
         job: &Job,
         turn: &QuarantineTurn,
         endpoint: &Registered,
-        after: AfterBreak,
-    ) -> BrokeOff {
-        BrokeOff {
+        after: ProbeOutcome,
+    ) -> FailedAttempt {
+        FailedAttempt {
             request: job.digest(self),
             endpoint: endpoint.id.clone(),
-            born: Some(endpoint.born),
-            after,
+            started_at: Some(endpoint.born),
+            probe: after,
             trial: turn.trial.as_ref().map(|trial| trial.call()),
         }
     }
@@ -97,7 +97,7 @@
     service: String,
     address: SocketAddr,
     limit: Duration,
-    broke_off: BrokeOff,
+    broke_off: FailedAttempt,
     _permit: OwnedSemaphorePermit,
 }
 
@@ -112,7 +112,7 @@
             connection = match look_at(self.address, self.limit).await {
                 // It is there, and closed only the connection.
                 (_, Some(next)) => next,
-                (AfterBreak::Refused, None) => return self.tell(),
+                (ProbeOutcome::ConnectionRefused, None) => return self.tell(),
                 (_, None) => return,
             };
         }
@@ -127,8 +127,8 @@
             trial = self.broke_off.trial.is_some();
             "an endpoint ended after an attempt there had broken off"
         );
-        let broke_off = BrokeOff { after: AfterBreak::Refused, ..self.broke_off };
-        self.node.input(Input::BrokeOff(broke_off));
+        let broke_off = FailedAttempt { probe: ProbeOutcome::ConnectionRefused, ..self.broke_off };
+        self.node.input(Input::FailedAttempt(broke_off));
     }
 }
 
@@ -168,25 +168,25 @@
     fn drop(&mut self) {
         if !self.has_ended {
             let Awaited { relay, job, turn, endpoint, .. } = self;
-            let broke_off = relay.describe(job, turn, endpoint, AfterBreak::Silent);
-            relay.node.input(Input::BrokeOff(broke_off));
+            let broke_off = relay.describe(job, turn, endpoint, ProbeOutcome::NoAnswer);
+            relay.node.input(Input::FailedAttempt(broke_off));
         }
     }
 }
 
-fn name(after: AfterBreak) -> &'static str {
+fn name(after: ProbeOutcome) -> &'static str {
     match after {
-        AfterBreak::Refused => "ended",
-        AfterBreak::Taken => "alive",
-        AfterBreak::Silent => "silent",
+        ProbeOutcome::ConnectionRefused => "ended",
+        ProbeOutcome::Connected => "alive",
+        ProbeOutcome::NoAnswer => "silent",
     }
 }
 
 /// What an endpoint's address says now, and the connection if it takes one.
-async fn look_at(address: SocketAddr, limit: Duration) -> (AfterBreak, Option<TcpStream>) {
+async fn look_at(address: SocketAddr, limit: Duration) -> (ProbeOutcome, Option<TcpStream>) {
     match timeout(limit, socket::connect(address)).await {
-        Ok(Ok(connection)) => (AfterBreak::Taken, Some(connection)),
-        Ok(Err(_)) => (AfterBreak::Refused, None),
-        Err(_) => (AfterBreak::Silent, None),
+        Ok(Ok(connection)) => (ProbeOutcome::Connected, Some(connection)),
+        Ok(Err(_)) => (ProbeOutcome::ConnectionRefused, None),
+        Err(_) => (ProbeOutcome::NoAnswer, None),
     }
 }
--- a/crates/server/src/runtime/trial.rs
+++ b/crates/server/src/runtime/trial.rs
@@ -72,7 +72,7 @@
         let mut trial =
             Trial { node: self.clone(), call, apart: false, begun: false, whole: false };
         match self.ask(call, NodeCall::Trial { request, limit }, limit + SLACK).await {
-            Some(NodeReply::Trial(TrialAnswer::Granted { apart })) => {
+            Some(NodeReply::Trial(TrialAnswer::Granted { isolated: apart })) => {
                 trial.apart = apart;
                 Tried::Granted(trial)
             }
--- a/crates/trayswitchd/src/callers/permit.rs
+++ b/crates/trayswitchd/src/callers/permit.rs
@@ -10,7 +10,7 @@
 
 use trayswitch_core::{
     error::RequestError,
-    node::{AfterBreak, BrokeOff, CallId, Input, NodeCall, NodeReply, TrialAnswer},
+    node::{CallId, FailedAttempt, Input, NodeCall, NodeReply, ProbeOutcome, TrialAnswer},
     quarantine::{PATIENCE, RequestDigest, no_turn, quarantined},
 };
 
@@ -69,7 +69,7 @@
         let call = node.view().next_call();
         let question = NodeCall::Trial { request: *request, limit: PATIENCE };
         match node.ask_as(call, question, PATIENCE + SLACK) {
-            Ok(NodeReply::Trial(TrialAnswer::Granted { apart })) => {
+            Ok(NodeReply::Trial(TrialAnswer::Granted { isolated: apart })) => {
                 log::info!("{} request {request} runs as a trial", EventId::TrialAsked);
                 Ok(Permit::trial(node, call, apart))
             }
@@ -107,11 +107,11 @@
         log::info!("{event} {endpoint} has ended under request {request}: {error}");
         // The next attempt may come before the node has told the view.
         self.node().view().set_has_suspects(true);
-        self.node().input(Input::BrokeOff(BrokeOff {
+        self.node().input(Input::FailedAttempt(FailedAttempt {
             request: *request,
             endpoint: endpoint.clone(),
-            born: None,
-            after: AfterBreak::Refused,
+            started_at: None,
+            probe: ProbeOutcome::ConnectionRefused,
             trial: permit.trial,
         }));
     }
