--- a/crates/core/src/node/failed_attempt.rs
+++ b/crates/core/src/node/failed_attempt.rs
@@ -13,7 +13,7 @@
 pub enum ProbeOutcome {
     /// Nothing listens there any more.
     ConnectionRefused,
-    /// The connection was accepted: only this request failed, or the endpoint has restarted.
+    /// The endpoint has restarted, or only this request failed.
     Connected,
     /// The probe timed out.
     NoAnswer,
@@ -26,18 +26,17 @@
     pub request: RequestDigest,
     /// Name of the endpoint.
     pub endpoint: Arc<str>,
-    /// When the endpoint's process was started, as it reports itself; zero if it does not. `None`
-    /// for an endpoint that the configuration lists, since those send no heartbeats.
+    /// Start time that the endpoint's process reports, zero if none; `None` for an endpoint that
+    /// the configuration lists.
     pub started_at: Option<u64>,
     /// Result of the probe after the failure.
     pub probe: ProbeOutcome,
-    /// The quarantine trial that this attempt was, if any.
+    /// The trial that it was, if it was one.
     pub trial: Option<CallId>,
 }
 
 impl FailedAttempt {
-    /// State of the endpoint's process according to the registry; `None` if the configuration lists
-    /// the endpoint.
+    /// What the registry knows of the endpoint's run; nothing where the configuration lists it.
     pub(super) fn run_state(&self, registry: &Registry) -> Option<RunState> {
         Some(registry.run_state(&self.endpoint, self.started_at?))
     }
