--- a/crates/core/src/node/endpoints.rs
+++ b/crates/core/src/node/endpoints.rs
@@ -56,8 +56,9 @@
     /// name or the address of an endpoint that is known. Others of such services do no harm, and
     /// their services may be named by the next configuration.
     fn is_foreign(&self, record: &EndpointRecord) -> bool {
-        let in_force = self.keeper.in_force();
-        let is_unknown = in_force.is_some_and(|f| !f.config.services.contains_key(&record.service));
+        let active_config = self.keeper.active_config();
+        let is_unknown =
+            active_config.is_some_and(|f| !f.config.services.contains_key(&record.service));
         is_unknown && self.registry.is_known_by_name_or_address(record)
     }
 
@@ -192,9 +193,9 @@
 
     /// Notes that data halls were given back to service.
     pub(super) fn note_halls_back(&mut self, halls: &[String], now: Instant) {
-        let Some(in_force) = self.keeper.in_force() else { return };
+        let Some(active_config) = self.keeper.active_config() else { return };
         for hall in halls {
-            self.registry.hall_back(hall, &in_force.config, now);
+            self.registry.hall_back(hall, &active_config.config, now);
         }
     }
 
@@ -223,9 +224,9 @@
 
     /// Brings the endpoints that registered themselves to the schedulers.
     pub(super) fn hand_out_endpoints(&mut self, now: Instant) {
-        let Some(in_force) = self.keeper.in_force() else { return };
+        let Some(active_config) = self.keeper.active_config() else { return };
         let halls_out = self.keeper.halls_out();
-        let engines = Engines::new(&self.registry, &in_force.config, halls_out);
+        let engines = Engines::new(&self.registry, &active_config.config, halls_out);
         self.placing.configure(&engines, now);
         if let Some(control) = &mut self.control {
             control.set_engines(engines, now, &mut self.outputs);
@@ -233,7 +234,7 @@
         let registry = &self.registry;
         let is_there = |endpoint: &str, started_at| {
             registry.knows_run(endpoint, started_at)
-                || in_force.config.endpoints.contains_key(endpoint)
+                || active_config.config.endpoints.contains_key(endpoint)
         };
         self.placing.retain_runs(is_there, now);
         if let Some(control) = &mut self.control {
--- a/crates/core/src/node/holder.rs
+++ b/crates/core/src/node/holder.rs
@@ -29,7 +29,7 @@
 
 /// A configuration in force.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveConfig {
     /// Its version.
     pub version: u64,
     /// Hash of its document.
@@ -42,9 +42,9 @@
 
 impl CheckedDocument {
     /// The change that makes it of what is in force, if anything is.
-    pub fn change_from(&self, in_force: Option<&InForce>) -> ConfigChange {
+    pub fn change_from(&self, active_config: Option<&ActiveConfig>) -> ConfigChange {
         let nothing = Document::default();
-        let (base, before) = in_force.map_or((0, &nothing), |f| (f.version, &f.document));
+        let (base, before) = active_config.map_or((0, &nothing), |f| (f.version, &f.document));
         ConfigChange::new(self.version(), base, before, self.document())
     }
 }
@@ -81,7 +81,7 @@
 
 /// The configuration in force and what is missing.
 pub(super) struct Holder {
-    in_force: Option<Arc<InForce>>,
+    active_config: Option<Arc<ActiveConfig>>,
     /// Whether this VM has a control replica, which brings it what is accepted.
     is_control: bool,
     /// The newest version that a leader has told of.
@@ -101,7 +101,7 @@
 impl Holder {
     pub(super) fn new(now: Instant) -> Holder {
         Holder {
-            in_force: None,
+            active_config: None,
             is_control: false,
             newest: 0,
             oldest_allowed: None,
@@ -112,13 +112,13 @@
         }
     }
 
-    pub(super) fn in_force(&self) -> Option<&Arc<InForce>> {
-        self.in_force.as_ref()
+    pub(super) fn active_config(&self) -> Option<&Arc<ActiveConfig>> {
+        self.active_config.as_ref()
     }
 
     pub(super) fn version_hash(&self) -> VersionHash {
-        let of = |f: &Arc<InForce>| VersionHash { version: f.version, hash: f.hash };
-        self.in_force.as_ref().map(of).unwrap_or_default()
+        let of = |f: &Arc<ActiveConfig>| VersionHash { version: f.version, hash: f.hash };
+        self.active_config.as_ref().map(of).unwrap_or_default()
     }
 
     /// From now on what is accepted comes from this VM's own control replica.
@@ -198,7 +198,7 @@
             return false;
         }
         let nothing = Document::default();
-        let before = self.in_force.as_ref().map_or(&nothing, |f| &f.document);
+        let before = self.active_config.as_ref().map_or(&nothing, |f| &f.document);
         let delta = before.delta_to(state.document());
         let version = VersionHash { version: state.version(), hash: state.hash() };
         self.put_in_force(version, state.document().clone(), &delta, out)
@@ -211,7 +211,7 @@
         let base = if self.refused.is_some() { 0 } else { known };
         self.fetching.take_if(|fetching| fetching.base() != base);
         // Before the first confirmation nothing may come into force.
-        let is_known = self.in_force.is_some() || self.oldest_allowed.is_some();
+        let is_known = self.active_config.is_some() || self.oldest_allowed.is_some();
         let is_missing = is_known && known < self.newest && !self.is_control;
         if !is_missing || self.fetching.is_some() || now < self.fetch_again {
             return;
@@ -258,14 +258,14 @@
         if self.refused == Some(version) {
             return false;
         }
-        match &self.in_force {
-            Some(in_force) => in_force.version < version,
+        match &self.active_config {
+            Some(active_config) => active_config.version < version,
             None => 0 < version && self.oldest_allowed.is_some_and(|oldest| oldest <= version),
         }
     }
 
     fn document(&self) -> Document {
-        self.in_force.as_ref().map(|f| f.document.clone()).unwrap_or_default()
+        self.active_config.as_ref().map(|f| f.document.clone()).unwrap_or_default()
     }
 
     /// Brings a change into force if it goes on from what is, or is a whole document.
@@ -297,7 +297,7 @@
     ) -> bool {
         // It was checked when it was submitted; a daemon of another release may still refuse
         // it, and then shows itself stale.
-        let config = match &self.in_force {
+        let config = match &self.active_config {
             Some(before) => before.config.updated(ACCEPTED, &document, delta),
             None => Config::check(ACCEPTED, &document),
         };
@@ -308,7 +308,7 @@
             return false;
         };
         self.refused = None;
-        self.in_force = Some(Arc::new(InForce { version, hash, document, config }));
+        self.active_config = Some(Arc::new(ActiveConfig { version, hash, document, config }));
         self.newest = self.newest.max(version);
         true
     }
--- a/crates/core/src/node/keeper/mod.rs
+++ b/crates/core/src/node/keeper/mod.rs
@@ -15,7 +15,7 @@
 use self::polls::SentPoll;
 use super::{
     CallId, NodeOptions, NodeTiming, Outbox, Output, VersionHash, VmName,
-    holder::{Holder, InForce, Sources},
+    holder::{ActiveConfig, Holder, Sources},
     reads::{Confirmed, Reads, Wanted},
 };
 use crate::{
@@ -125,8 +125,8 @@
         }
     }
 
-    pub(crate) fn in_force(&self) -> Option<&Arc<InForce>> {
-        self.holder.in_force()
+    pub(crate) fn active_config(&self) -> Option<&Arc<ActiveConfig>> {
+        self.holder.active_config()
     }
 
     pub(crate) fn is_fresh(&self) -> bool {
@@ -134,8 +134,8 @@
     }
 
     /// The configuration, if it changed since the last call.
-    pub(crate) fn take_changed(&mut self) -> Option<Arc<InForce>> {
-        std::mem::take(&mut self.changed).then(|| self.in_force().cloned()).flatten()
+    pub(crate) fn take_changed(&mut self) -> Option<Arc<ActiveConfig>> {
+        std::mem::take(&mut self.changed).then(|| self.active_config().cloned()).flatten()
     }
 
     /// The data halls that are out of service.
@@ -215,7 +215,7 @@
     }
 
     fn answer_reads(&mut self, now: Instant, out: &mut Outbox) {
-        let config = Confirmed { what: self.holder.in_force(), as_of: self.confirmed };
+        let config = Confirmed { what: self.holder.active_config(), as_of: self.confirmed };
         let halls_as_of = self.vouched.map(|vouched| vouched.asked);
         let halls = Confirmed { what: &self.halls, as_of: halls_as_of };
         self.reads.answer(config, halls, now, out);
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -4,7 +4,9 @@
 
 use bytes::Bytes;
 
-use super::{ControlStatus, EndpointStatus, Entries, FailedAttempt, InForce, TrialAnswer, VmName};
+use super::{
+    ActiveConfig, ControlStatus, EndpointStatus, Entries, FailedAttempt, TrialAnswer, VmName,
+};
 use crate::{
     agreement::Persist,
     backoff::Rejection,
@@ -122,7 +124,7 @@
     /// To [`NodeCall::Settle`]; false when it could not be stored in time.
     Settled(bool),
     /// To [`NodeCall::ReadConfig`]; `None` when it could not be confirmed in time.
-    Config(Option<Arc<InForce>>),
+    Config(Option<Arc<ActiveConfig>>),
     /// To [`NodeCall::ChangeHall`]; `None` when no quorum answered in time.
     HallChange(Option<HallResult>),
     /// To [`NodeCall::ReadHallsOut`]; `None` when they could not be confirmed in time.
@@ -301,7 +303,7 @@
     /// Answer a question.
     Reply(CallId, NodeReply),
     /// A configuration has come into force.
-    InForce(Arc<InForce>),
+    ConfigActivated(Arc<ActiveConfig>),
     /// Other data halls are out of service from now on.
     HallsOut(HallsOut),
     /// A change of the configuration was sent.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -90,7 +90,7 @@
     control::{ControlStatus, DaemonStatus, ReplicaStatus},
     endpoints::EndpointStatus,
     failed_attempt::{FailedAttempt, ProbeOutcome},
-    holder::InForce,
+    holder::ActiveConfig,
     keeper::Entries,
     messages::{CallId, Input, NodeCall, NodeReply, Output, Placement, SentChange, SubmitError},
     options::{Clocks, NodeOptions, NodeTiming},
@@ -185,8 +185,8 @@
     }
 
     /// The configuration in force here, if any.
-    pub fn in_force(&self) -> Option<&Arc<InForce>> {
-        self.keeper.in_force()
+    pub fn active_config(&self) -> Option<&Arc<ActiveConfig>> {
+        self.keeper.active_config()
     }
 
     /// Whether the configuration in force is confirmed to be current.
@@ -335,18 +335,18 @@
             if let Some(control) = &self.control {
                 self.keeper.take_accepted(control.state(), clocks.now, &mut self.outputs);
             }
-            let in_force = self.keeper.take_changed();
+            let active_config = self.keeper.take_changed();
             self.tell_leader_what_it_lacks(clocks.now);
             self.send_news(clocks.now);
             self.remember_if_due(clocks.now);
             let halls_back = self.keeper.take_halls_back();
             self.note_halls_back(halls_back.as_deref().unwrap_or_default(), clocks.now);
             let registered = self.hand_out_if_due(halls_back.is_some(), clocks.now);
-            if in_force.is_some() || registered {
+            if active_config.is_some() || registered {
                 self.hand_out_endpoints(clocks.now);
             }
-            if let Some(in_force) = in_force {
-                self.outputs.push(Output::InForce(in_force));
+            if let Some(active_config) = active_config {
+                self.outputs.push(Output::ConfigActivated(active_config));
             }
             if let Some(leader) = self.keeper.take_leader_change() {
                 let now = clocks.now;
--- a/crates/core/src/node/reads.rs
+++ b/crates/core/src/node/reads.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{CallId, InForce, NodeReply, Outbox};
+use super::{ActiveConfig, CallId, NodeReply, Outbox};
 use crate::{state::HallsOut, units::Instant};
 
 /// What a question asks for.
@@ -49,7 +49,7 @@
     /// Answers what was confirmed since it was asked, and what has waited for too long.
     pub(super) fn answer(
         &mut self,
-        config: Confirmed<Option<&Arc<InForce>>>,
+        config: Confirmed<Option<&Arc<ActiveConfig>>>,
         halls: Confirmed<&HallsOut>,
         now: Instant,
         out: &mut Outbox,
--- a/crates/core/src/node/tests/fleet/mod.rs
+++ b/crates/core/src/node/tests/fleet/mod.rs
@@ -219,9 +219,9 @@
                 let accepted = result.expect("nobody submits anything else");
                 self.accepted.insert(accepted.version, at);
             }
-            Output::InForce(in_force) => {
+            Output::ConfigActivated(active_config) => {
                 let versions = self.in_force.entry(vm.clone()).or_default();
-                versions.insert(in_force.version, at);
+                versions.insert(active_config.version, at);
             }
             Output::Leader { term, .. } if 0 < term => {
                 self.terms.insert(term);
@@ -267,9 +267,10 @@
     /// Submits a file at a VM, made from what is in force there.
     pub(super) fn submit(&mut self, vm: &VmName, version: u64, text: &str) {
         let document = Document::parse("f.ini", text).unwrap();
-        let in_force = self.hosts[vm].node.in_force();
+        let active_config = self.hosts[vm].node.active_config();
         let nothing = Document::default();
-        let (base_version, base) = in_force.map_or((0, &nothing), |f| (f.version, &f.document));
+        let (base_version, base) =
+            active_config.map_or((0, &nothing), |f| (f.version, &f.document));
         let command = ConfigChange::new(version, base_version, base, &document);
         let submit = Submit { file: "f.ini".into(), command, or_newer: false };
         self.next_call += 1;
@@ -280,8 +281,8 @@
     /// Bytes of the change that a text makes on what is in force at a VM.
     pub(super) fn change_bytes(&self, vm: &VmName, text: &str) -> usize {
         let document = Document::parse("f.ini", text).unwrap();
-        let in_force = self.hosts[vm].node.in_force().unwrap();
-        ConfigChange::new(0, 0, &in_force.document, &document).delta.len()
+        let active_config = self.hosts[vm].node.active_config().unwrap();
+        ConfigChange::new(0, 0, &active_config.document, &document).delta.len()
     }
 
     /// Bytes that have reached a VM so far.
--- a/crates/core/src/node/tests/net/mod.rs
+++ b/crates/core/src/node/tests/net/mod.rs
@@ -235,7 +235,7 @@
             Output::Persist(number, persist) => {
                 self.hosts.get_mut(vm).unwrap().writes.push_back((number, persist));
             }
-            Output::InForce(in_force) => self.seen.check_in_force(vm, &in_force),
+            Output::ConfigActivated(active_config) => self.seen.check_in_force(vm, &active_config),
             Output::Reply(call, answer) => {
                 self.seen.check_answer(call, answer, Instant(self.now));
             }
@@ -286,9 +286,10 @@
     /// Submits a file of this version, made from what is in force at the VM.
     pub(super) fn submit(&mut self, vm: &VmName, version: u64, content: &str) {
         let document = Document::parse("f.ini", &file(version, content)).unwrap();
-        let in_force = self.hosts[vm].node.as_ref().and_then(Node::in_force);
+        let active_config = self.hosts[vm].node.as_ref().and_then(Node::active_config);
         let nothing = Document::default();
-        let (base_version, base) = in_force.map_or((0, &nothing), |f| (f.version, &f.document));
+        let (base_version, base) =
+            active_config.map_or((0, &nothing), |f| (f.version, &f.document));
         let command = ConfigChange::new(version, base_version, base, &document);
         let submit = Submit { file: "f.ini".into(), command, or_newer: false };
         self.seen.note_submission(CallId(self.next_call + 1), version);
@@ -353,7 +354,7 @@
     /// The version in force at a VM, or 0.
     pub(super) fn version_at(&self, vm: &str) -> u64 {
         let node = self.hosts[vm].node.as_ref();
-        node.and_then(Node::in_force).map_or(0, |f| f.version)
+        node.and_then(Node::active_config).map_or(0, |f| f.version)
     }
 
     /// The state of the control group as a replica sees it.
--- a/crates/core/src/node/tests/net/seen.rs
+++ b/crates/core/src/node/tests/net/seen.rs
@@ -5,7 +5,7 @@
 use super::halls::SeenHalls;
 use crate::{
     config::ContentHash,
-    node::{CallId, InForce, NodeReply, Placement, TrialAnswer, VmName},
+    node::{ActiveConfig, CallId, NodeReply, Placement, TrialAnswer, VmName},
     once::ClaimResult,
     state::HallsOut,
     throttle::Permit,
@@ -76,12 +76,12 @@
 
     /// Checks a configuration that has come into force on a VM: it is no older than the one
     /// before, and every version is one file.
-    pub(super) fn check_in_force(&mut self, vm: &VmName, in_force: &InForce) {
-        let known = self.hashes.entry(in_force.version).or_insert(in_force.hash);
-        assert_eq!(*known, in_force.hash, "two files in force as one version");
+    pub(super) fn check_in_force(&mut self, vm: &VmName, active_config: &ActiveConfig) {
+        let known = self.hashes.entry(active_config.version).or_insert(active_config.hash);
+        assert_eq!(*known, active_config.hash, "two files in force as one version");
         let highest = self.in_force.entry(vm.clone()).or_default();
-        assert!(*highest <= in_force.version, "the configuration in force reverted");
-        *highest = in_force.version;
+        assert!(*highest <= active_config.version, "the configuration in force reverted");
+        *highest = active_config.version;
     }
 
     /// Checks the version in force on a VM that takes it for confirmed as of `at`: it covers
--- a/crates/server/src/relay/admission.rs
+++ b/crates/server/src/relay/admission.rs
@@ -9,7 +9,7 @@
     config::{Config, NamedRoute, RouteKind},
     error::{ErrorKind, RequestError},
     mechanism::Mechanism,
-    node::InForce,
+    node::ActiveConfig,
 };
 
 use super::{
@@ -43,7 +43,7 @@
         check_framing(&head).map_err(|e| refused("", e))?;
         let caller = self.protocol.caller_request(&head).map_err(|e| refused("", e))?;
         let id = caller.id.clone();
-        let limits = self.node.view().in_force().map(|f| f.config.limits.clone());
+        let limits = self.node.view().active_config().map(|f| f.config.limits.clone());
         let limits = limits.unwrap_or_default();
         // Read first, so that the caller is answered on a connection that is at rest.
         let body = read_whole(body, limits.max_body as usize, limits.idle_timeout)
@@ -116,9 +116,9 @@
     }
 
     /// The configuration in force if it is current, or becomes so by then.
-    async fn current_config(&self, until: Instant) -> Option<Arc<InForce>> {
+    async fn current_config(&self, until: Instant) -> Option<Arc<ActiveConfig>> {
         loop {
-            let current = self.node.view().in_force().filter(|_| self.is_current());
+            let current = self.node.view().active_config().filter(|_| self.is_current());
             let Some(recovers) = self.note_whether_current(current.is_some()) else {
                 return current;
             };
@@ -150,7 +150,7 @@
 
     /// Whether a request may still be sent to an endpoint.
     pub(super) fn check_may_run(&self, job: &Job) -> Result<(), RequestError> {
-        let config = self.node.view().in_force().filter(|_| self.is_current());
+        let config = self.node.view().active_config().filter(|_| self.is_current());
         let Some(config) = config else {
             let message = "no control VM has confirmed the configuration lately";
             return Err(RequestError::new(ErrorKind::NotReady, message));
--- a/crates/server/src/relay/job.rs
+++ b/crates/server/src/relay/job.rs
@@ -8,7 +8,7 @@
 use trayswitch_clock::Instant;
 use trayswitch_core::{
     config::{EndpointTarget, NamedRoute},
-    node::InForce,
+    node::ActiveConfig,
     placement::{self, PrefixHash, Ticket},
     quarantine::{RequestDigest, RequestIdentity},
 };
@@ -28,7 +28,7 @@
     pub(super) head: request::Parts,
     pub(super) body: Bytes,
     pub(super) caller: CallerRequest,
-    pub(super) config: Arc<InForce>,
+    pub(super) config: Arc<ActiveConfig>,
     pub(super) route: NamedRoute,
     /// The service that it goes to.
     pub(super) service: String,
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -159,7 +159,7 @@
         let view = self.node.view();
         let age = view.confirmed().map(|at| self.node.now().since(at));
         Inputs {
-            config: view.in_force().map_or(0, |f| f.version),
+            config: view.active_config().map_or(0, |f| f.version),
             config_age_ms: age.map_or(0, |age| age.as_millis() as u64),
         }
     }
@@ -261,7 +261,7 @@
 
     fn bounds(&self) -> Bounds {
         let limits =
-            self.node.view().in_force().map(|f| f.config.limits.clone()).unwrap_or_default();
+            self.node.view().active_config().map(|f| f.config.limits.clone()).unwrap_or_default();
         Bounds {
             max_header: limits.max_header as usize,
             header_timeout: limits.header_timeout,
--- a/crates/server/src/relay/tests/entry.rs
+++ b/crates/server/src/relay/tests/entry.rs
@@ -232,7 +232,7 @@
         let document = Document::parse("test.ini", CONFIG).unwrap();
         let checked = CheckedDocument::new("test.ini", document).unwrap();
         self.node.submit("test.ini", &checked, false, LIMIT).await.unwrap();
-        self.until(|| self.node.view().in_force().is_some()).await;
+        self.until(|| self.node.view().active_config().is_some()).await;
     }
 
     /// Suspends the VM for longer than a configuration holds.
--- a/crates/server/src/runtime/mod.rs
+++ b/crates/server/src/runtime/mod.rs
@@ -28,7 +28,7 @@
 use trayswitch_clock as clock;
 use trayswitch_core::{
     backoff::{Admission, BackoffTable},
-    node::{CallId, Clocks, InForce, Input, Node, NodeOptions, NodeReply, Output, VmName},
+    node::{ActiveConfig, CallId, Clocks, Input, Node, NodeOptions, NodeReply, Output, VmName},
     placement::Request,
     quarantine::{DigestKey, RequestDigest, RequestIdentity, Standing},
     registry::Registered,
@@ -225,7 +225,7 @@
                     let _ = tx.send(answer);
                 }
             }
-            Output::InForce(in_force) => self.in_force(in_force),
+            Output::ConfigActivated(active_config) => self.config_activated(active_config),
             Output::Fresh { fresh, confirmed, daemons, entries } => {
                 self.fresh(fresh, confirmed);
                 self.0.view.set_daemons(daemons, entries);
@@ -259,13 +259,13 @@
         }
     }
 
-    fn in_force(&self, in_force: Arc<InForce>) {
+    fn config_activated(&self, active_config: Arc<ActiveConfig>) {
         log::info!(
-            event = EventId::ConfigInForce.number(), config = in_force.version,
-            hash = in_force.hash.to_string().as_str(), routes = in_force.config.routes.len();
+            event = EventId::ConfigInForce.number(), config = active_config.version,
+            hash = active_config.hash.to_string().as_str(), routes = active_config.config.routes.len();
             "a configuration came into force"
         );
-        self.0.view.publish(in_force);
+        self.0.view.publish(active_config);
     }
 
     fn take_halls_out(&self, halls: &HallsOut) {
--- a/crates/server/src/runtime/questions.rs
+++ b/crates/server/src/runtime/questions.rs
@@ -7,7 +7,7 @@
 use trayswitch_core::{
     config::CheckedDocument,
     error::{ErrorKind, RequestError},
-    node::{CallId, InForce, Input, NodeCall, NodeReply, SubmitError},
+    node::{ActiveConfig, CallId, Input, NodeCall, NodeReply, SubmitError},
     placement::Request,
     state::{HallOrder, HallResult, HallsOut},
     throttle::{Permit, PermitRequest},
@@ -63,8 +63,8 @@
     ) -> Result<AcceptedVersion, SubmitError> {
         let began = Instant::now();
         loop {
-            let (checked, in_force) = (checked.clone(), self.0.view.in_force());
-            let command = off_thread(move || checked.change_from(in_force.as_deref())).await;
+            let (checked, active_config) = (checked.clone(), self.0.view.active_config());
+            let command = off_thread(move || checked.change_from(active_config.as_deref())).await;
             let submit = Submit { file: file.to_owned(), command, or_newer };
             let call = self.0.view.next_call();
             let left = limit.saturating_sub(began.elapsed());
@@ -80,7 +80,7 @@
     }
 
     /// The newest accepted configuration, if that can be confirmed in time.
-    pub async fn newest(&self, limit: Duration) -> Option<Arc<InForce>> {
+    pub async fn newest(&self, limit: Duration) -> Option<Arc<ActiveConfig>> {
         let call = self.0.view.next_call();
         // The node keeps the limit itself; a little more lets its answer come.
         match self.ask(call, NodeCall::ReadConfig { limit }, limit * 2).await {
--- a/crates/server/src/runtime/view.rs
+++ b/crates/server/src/runtime/view.rs
@@ -9,7 +9,7 @@
 
 use trayswitch_clock as clock;
 use trayswitch_core::{
-    node::{CallId, Entries, InForce},
+    node::{ActiveConfig, CallId, Entries},
     registry::Registered,
     units::Instant,
 };
@@ -17,7 +17,7 @@
 /// State shared with requests.
 #[derive(Default)]
 pub struct View {
-    in_force: RefCell<Option<Arc<InForce>>>,
+    active_config: RefCell<Option<Arc<ActiveConfig>>>,
     endpoints: RefCell<HashMap<Arc<str>, Registered>>,
     by_service: RefCell<BTreeMap<Arc<str>, Vec<Arc<str>>>>,
     confirmed: Cell<Option<Instant>>,
@@ -31,8 +31,8 @@
 
 impl View {
     /// The configuration in force, if any.
-    pub fn in_force(&self) -> Option<Arc<InForce>> {
-        self.in_force.borrow().clone()
+    pub fn active_config(&self) -> Option<Arc<ActiveConfig>> {
+        self.active_config.borrow().clone()
     }
 
     /// When the configuration in force was last known to be current.
@@ -69,7 +69,7 @@
 
     /// Whether callers should be sent here.
     pub fn ready(&self) -> bool {
-        !self.stopping() && self.fresh.get() && self.in_force.borrow().is_some()
+        !self.stopping() && self.fresh.get() && self.active_config.borrow().is_some()
     }
 
     /// Begins a planned stop: unready, but still serving until the daemon ends.
@@ -119,8 +119,8 @@
         }
     }
 
-    pub(super) fn publish(&self, in_force: Arc<InForce>) {
-        *self.in_force.borrow_mut() = Some(in_force);
+    pub(super) fn publish(&self, active_config: Arc<ActiveConfig>) {
+        *self.active_config.borrow_mut() = Some(active_config);
     }
 
     /// Sets what is known of the configuration's age; returns whether it was fresh before.
--- a/crates/trayswitchd/src/callers/call.rs
+++ b/crates/trayswitchd/src/callers/call.rs
@@ -87,7 +87,7 @@
     call: &str,
 ) -> Result<ServiceRequest, RequestError> {
     let admitted = callers.admit(req)?;
-    let config = &admitted.in_force.config;
+    let config = &admitted.active_config.config;
     let spec = config.services.get(service).and_then(|s| s.calls.get(call));
     let Some(spec) = spec.cloned() else {
         let message = format!("there is no call \"{service}/{call}\"");
--- a/crates/trayswitchd/src/callers/chat.rs
+++ b/crates/trayswitchd/src/callers/chat.rs
@@ -65,7 +65,7 @@
     body: &[u8],
     kind: Option<String>,
 ) -> Result<ChatRequest, RequestError> {
-    let config = &admitted.in_force.config;
+    let config = &admitted.active_config.config;
     let body: Map<String, Value> = serde_json::from_slice(body)
         .map_err(|e| bad(format!("the body is not a JSON object: {e}")))?;
     let model = match body.get("model") {
--- a/crates/trayswitchd/src/callers/context.rs
+++ b/crates/trayswitchd/src/callers/context.rs
@@ -17,7 +17,7 @@
     backoff::Rejection,
     error::{ErrorKind, Outcome, RequestError},
     limits::RetryBudget,
-    node::{CallId, InForce, Input, NodeCall, NodeReply, Placement},
+    node::{ActiveConfig, CallId, Input, NodeCall, NodeReply, Placement},
     placement,
     quarantine::{DigestKey, RequestDigest, RequestIdentity},
     signals::Signals,
@@ -56,7 +56,7 @@
 
 /// A request whose caller is known.
 pub(super) struct Admitted {
-    pub(super) in_force: Arc<InForce>,
+    pub(super) active_config: Arc<ActiveConfig>,
     pub(super) workspace: String,
 }
 
@@ -125,8 +125,8 @@
         if view.draining() {
             return Err(not_ready("this daemon is stopping"));
         }
-        let in_force = view.in_force().filter(|_| view.fresh());
-        let Some(in_force) = in_force else {
+        let active_config = view.active_config().filter(|_| view.fresh());
+        let Some(active_config) = active_config else {
             return Err(not_ready("this daemon has no configuration that is known to be current"));
         };
         let key = header(req, "Authorization").and_then(|value| value.strip_prefix("Bearer "));
@@ -134,13 +134,13 @@
             let message = "send the workspace key as \"Authorization: Bearer KEY\"";
             return Err(RequestError::new(ErrorKind::Unauthorized, message));
         };
-        let Some(workspace) = in_force.config.workspace_of_key(key.trim()) else {
+        let Some(workspace) = active_config.config.workspace_of_key(key.trim()) else {
             let message = "no workspace has this key";
             return Err(RequestError::new(ErrorKind::Unauthorized, message));
         };
         let workspace = workspace.to_owned();
         self.budget(&workspace, RetryBudget::on_request);
-        Ok(Admitted { in_force, workspace })
+        Ok(Admitted { active_config, workspace })
     }
 
     /// Takes what an endpoint has said of itself in an answer to a request that was sent at `asked`.
@@ -253,8 +253,8 @@
 
     /// Address of an endpoint, unless it was just removed.
     pub(super) fn address(&self, endpoint: &str) -> Option<SocketAddr> {
-        let in_force = self.node.view().in_force()?;
-        in_force.config.endpoints.get(endpoint).map(|spec| spec.address)
+        let active_config = self.node.view().active_config()?;
+        active_config.config.endpoints.get(endpoint).map(|spec| spec.address)
     }
 
     /// Tells the node about a failure that a request has met.
--- a/crates/trayswitchd/src/endpoint/watcher.rs
+++ b/crates/trayswitchd/src/endpoint/watcher.rs
@@ -44,10 +44,10 @@
 
 /// Asks all at once, so that a frozen endpoint does not hold the others up.
 fn ask_all(callers: &Arc<Callers>) -> Vec<Asked> {
-    let Some(in_force) = callers.node().view().in_force() else { return Vec::new() };
+    let Some(active_config) = callers.node().view().active_config() else { return Vec::new() };
     let (tx, rx) = mpsc::channel();
     for endpoint in callers.node().view().watched() {
-        let Some(spec) = in_force.config.endpoints.get(&endpoint) else { continue };
+        let Some(spec) = active_config.config.endpoints.get(&endpoint) else { continue };
         if matches!(spec.target, EndpointTarget::Service(_)) {
             // Plain services have no load report of their own.
             continue;
--- a/crates/trayswitchd/src/node/actor.rs
+++ b/crates/trayswitchd/src/node/actor.rs
@@ -10,7 +10,7 @@
 use trayswitch_clock::Instant;
 use trayswitch_core::{
     agreement::Persist,
-    node::{CallId, Clocks, InForce, Input, Node, NodeReply, Output, VmName},
+    node::{ActiveConfig, CallId, Clocks, Input, Node, NodeReply, Output, VmName},
     quarantine::{Standing, Suspect},
     units::{self, UnixMillis},
     wire::Body,
@@ -137,7 +137,7 @@
                     let _ = tx.send(answer);
                 }
             }
-            Output::InForce(in_force) => self.in_force(in_force),
+            Output::ConfigActivated(active_config) => self.config_activated(active_config),
             Output::Fresh { fresh, confirmed, .. } => self.fresh(fresh, confirmed),
             Output::Watch(endpoints) => self.view.set_watched(endpoints),
             Output::HallsOut(halls) => {
@@ -181,10 +181,10 @@
         }
     }
 
-    fn in_force(&self, in_force: Arc<InForce>) {
-        let (version, hash) = (in_force.version, in_force.hash);
+    fn config_activated(&self, active_config: Arc<ActiveConfig>) {
+        let (version, hash) = (active_config.version, active_config.hash);
         log::info!("{} version {version} is in force, hash {hash}", EventId::ConfigInForce);
-        self.view.publish(in_force);
+        self.view.publish(active_config);
     }
 
     fn fresh(&mut self, fresh: bool, confirmed: Option<units::Instant>) {
--- a/crates/trayswitchd/src/node/view.rs
+++ b/crates/trayswitchd/src/node/view.rs
@@ -9,12 +9,12 @@
 };
 
 use trayswitch_clock::Instant;
-use trayswitch_core::node::{CallId, InForce};
+use trayswitch_core::node::{ActiveConfig, CallId};
 
 /// State shared with request threads.
 #[derive(Default)]
 pub(crate) struct View {
-    in_force: RwLock<Option<Arc<InForce>>>,
+    active_config: RwLock<Option<Arc<ActiveConfig>>>,
     watched: RwLock<Vec<String>>,
     /// Until when the configuration counts as current, unless it is confirmed again.
     fresh_until: RwLock<Option<Instant>>,
@@ -35,13 +35,13 @@
     }
 
     /// The configuration in force, if any.
-    pub(crate) fn in_force(&self) -> Option<Arc<InForce>> {
-        self.in_force.read().expect("no reader panics").clone()
+    pub(crate) fn active_config(&self) -> Option<Arc<ActiveConfig>> {
+        self.active_config.read().expect("no reader panics").clone()
     }
 
     /// Brings a configuration into force.
-    pub(crate) fn publish(&self, in_force: Arc<InForce>) {
-        *self.in_force.write().expect("no reader panics") = Some(in_force);
+    pub(crate) fn publish(&self, active_config: Arc<ActiveConfig>) {
+        *self.active_config.write().expect("no reader panics") = Some(active_config);
     }
 
     /// Endpoints that this daemon asks for their load.
@@ -102,7 +102,7 @@
 
     /// Whether the balancer should send callers here.
     pub(crate) fn ready(&self) -> bool {
-        !self.stopping() && self.fresh() && self.in_force().is_some()
+        !self.stopping() && self.fresh() && self.active_config().is_some()
     }
 
     /// Begins a planned stop: unready, but still serving.
--- a/crates/trayswitchd/src/operators/halls.rs
+++ b/crates/trayswitchd/src/operators/halls.rs
@@ -109,8 +109,9 @@
 
 /// The data halls that the configuration, endpoints or orders name.
 fn halls(callers: &Callers, out: &HallsOut) -> BTreeMap<String, Hall> {
-    let in_force = callers.node().view().in_force();
-    let configured = in_force.iter().flat_map(|in_force| in_force.config.halls.keys().cloned());
+    let active_config = callers.node().view().active_config();
+    let configured =
+        active_config.iter().flat_map(|active_config| active_config.config.halls.keys().cloned());
     let mut halls = BTreeMap::new();
     for name in configured.chain(out.names.iter().cloned()) {
         let hall = Hall { out: out.contains(&name), endpoints: 0, name: name.clone() };
--- a/crates/trayswitchd/src/operators/mod.rs
+++ b/crates/trayswitchd/src/operators/mod.rs
@@ -93,17 +93,17 @@
 }
 
 fn show(callers: &Callers, req: Request) -> std::io::Result<()> {
-    let Some(in_force) = callers.node().view().in_force() else {
+    let Some(active_config) = callers.node().view().active_config() else {
         return failure(req, 404, "no configuration is in force on this daemon");
     };
-    let version = in_force.version.to_string();
-    let hash = in_force.hash.to_string();
+    let version = active_config.version.to_string();
+    let hash = active_config.hash.to_string();
     let headers = [
         ("Content-Type", "text/plain; charset=utf-8"),
         ("X-Version", version.as_str()),
         ("X-Hash", hash.as_str()),
     ];
-    respond(req, 200, &headers, in_force.document.to_ini().into_bytes())
+    respond(req, 200, &headers, active_config.document.to_ini().into_bytes())
 }
 
 fn failure(req: Request, status: u16, message: &str) -> std::io::Result<()> {
--- a/crates/trayswitchd/src/operators/reports.rs
+++ b/crates/trayswitchd/src/operators/reports.rs
@@ -45,7 +45,7 @@
 
 pub(super) fn status(callers: &Callers) -> Status {
     let view = callers.node().view();
-    let in_force = view.in_force();
+    let active_config = view.active_config();
     let control = match callers.node().ask(NodeCall::ControlStatus, LIMIT) {
         Ok(NodeReply::ControlStatus(control)) => control,
         _ => ControlStatus::default(),
@@ -56,8 +56,8 @@
         ready: view.ready(),
         fresh: view.fresh(),
         stopping: view.stopping(),
-        version: in_force.as_ref().map_or(0, |f| f.version),
-        hash: in_force.map(|f| f.hash.to_string()).unwrap_or_default(),
+        version: active_config.as_ref().map_or(0, |f| f.version),
+        hash: active_config.map(|f| f.hash.to_string()).unwrap_or_default(),
         requests: view.requests(),
         traffic: link::traffic(),
         control,
@@ -73,7 +73,7 @@
 }
 
 pub(super) fn workspaces(callers: &Callers) -> Vec<WorkspaceReport> {
-    let Some(in_force) = callers.node().view().in_force() else { return Vec::new() };
+    let Some(active_config) = callers.node().view().active_config() else { return Vec::new() };
     let report = |(name, spec): (&Arc<str>, &Arc<WorkspaceSpec>)| WorkspaceReport {
         name: name.to_string(),
         tier: spec.tier.clone(),
@@ -81,7 +81,7 @@
         max_running: spec.max_running,
         max_waiting: spec.max_waiting,
     };
-    in_force.config.workspaces.iter().map(report).collect()
+    active_config.config.workspaces.iter().map(report).collect()
 }
 
 pub(super) fn hex(bytes: &[u8]) -> String {
--- a/crates/trayswitchd/src/operators/submit.rs
+++ b/crates/trayswitchd/src/operators/submit.rs
@@ -27,7 +27,7 @@
         let question = NodeCall::Submit(Submit {
             or_newer: false,
             file: file.to_owned(),
-            command: checked.change_from(node.view().in_force().as_deref()),
+            command: checked.change_from(node.view().active_config().as_deref()),
         });
         match node.ask(question, LIMIT) {
             Ok(NodeReply::Submitted(Err(SubmitError::Rebase(_)))) if began.elapsed() < LIMIT => {
