--- a/crates/core/src/node/control/answers.rs
+++ b/crates/core/src/node/control/answers.rs
@@ -40,8 +40,8 @@
     pub(super) fn answer_poll(&mut self, read: ConfirmedRead, now: Instant, out: &mut Outbox) {
         let Some((vm, poll)) = self.polls.remove(&read.token) else { return };
         let entries = self.entries(now);
-        let slow = self.dispatcher.as_mut().map(|dispatcher| dispatcher.some_slow(now));
-        let limits = self.dispatcher.as_mut().map(|dispatcher| dispatcher.some_limits(now));
+        let slow = self.dispatcher.as_mut().map(|dispatcher| dispatcher.next_slow_endpoints(now));
+        let limits = self.dispatcher.as_mut().map(|dispatcher| dispatcher.next_rate_limits(now));
         let reply = PollReply {
             nonce: poll.nonce,
             version: self.state.version(),
--- a/crates/core/src/node/control/mod.rs
+++ b/crates/core/src/node/control/mod.rs
@@ -174,7 +174,7 @@
         self.peers.remove(vm);
         self.fetches.remove(vm);
         if let Some(dispatcher) = &mut self.dispatcher {
-            dispatcher.forget(vm, clocks.now, out);
+            dispatcher.remove_daemon(vm, clocks.now, out);
         }
         self.forget_trials(vm, clocks.now, out);
     }
@@ -230,40 +230,40 @@
             },
             Body::Progress(progress) => {
                 if let Some(dispatcher) = &mut self.dispatcher {
-                    dispatcher.progress(from, progress, clocks.now, out);
+                    dispatcher.on_progress(from, progress, clocks.now, out);
                 }
             }
             Body::Health(health) => {
                 let live = self.live_daemons(clocks.now);
                 if let Some(dispatcher) = &mut self.dispatcher {
-                    dispatcher.health(from, health, &live, clocks.now, out);
+                    dispatcher.on_health(from, health, &live, clocks.now, out);
                 }
             }
             Body::TrialAsk(ask) => self.trial_ask(from, &ask, clocks.now, out),
             Body::TrialOver(over) => self.trial_over(from, over, clocks.now, out),
             Body::LimitsRead(news) => {
                 if let Some(dispatcher) = &mut self.dispatcher {
-                    dispatcher.limits_read(news, clocks.now);
+                    dispatcher.on_rate_limits(news, clocks.now);
                 }
             }
             Body::Rejected(rejected) => {
                 if let Some(dispatcher) = &mut self.dispatcher {
-                    dispatcher.rejected(from, rejected, clocks.now);
+                    dispatcher.on_rejection(from, rejected, clocks.now);
                 }
             }
             Body::PermitQuery(ask) => match &mut self.dispatcher {
-                Some(dispatcher) => dispatcher.permit_query(from, ask, clocks.now, out),
+                Some(dispatcher) => dispatcher.on_permit_query(from, ask, clocks.now, out),
                 None => self.not_leader(from, None, out),
             },
             Body::Moved(moved) => {
                 if let Some(dispatcher) = &mut self.dispatcher {
-                    dispatcher.moved(from, &moved, clocks.now, out);
+                    dispatcher.on_relocated(from, &moved, clocks.now, out);
                 }
             }
             Body::Report(report) => {
                 let live = self.live_daemons(clocks.now);
                 if let Some(dispatcher) = &mut self.dispatcher {
-                    dispatcher.report(from, report, &live, clocks.now, out);
+                    dispatcher.on_load_report(from, report, &live, clocks.now, out);
                 }
             }
             _ => {}
--- a/crates/core/src/node/dispatcher.rs
+++ b/crates/core/src/node/dispatcher.rs
@@ -106,7 +106,13 @@
     }
 
     /// Takes what became of a move.
-    pub(crate) fn moved(&mut self, from: &VmName, moved: &Moved, now: Instant, out: &mut Outbox) {
+    pub(crate) fn on_relocated(
+        &mut self,
+        from: &VmName,
+        moved: &Moved,
+        now: Instant,
+        out: &mut Outbox,
+    ) {
         let ticket = Ticket { entry: self.number(from), number: moved.number };
         self.scheduler.moved(ticket, &moved.at, moved.done, now);
         self.decide(now, out);
@@ -128,7 +134,7 @@
         self.decide(now, out);
     }
 
-    pub(crate) fn progress(
+    pub(crate) fn on_progress(
         &mut self,
         from: &VmName,
         progress: Progress,
@@ -156,7 +162,7 @@
         }
     }
 
-    pub(crate) fn forget(&mut self, vm: &VmName, now: Instant, out: &mut Outbox) {
+    pub(crate) fn remove_daemon(&mut self, vm: &VmName, now: Instant, out: &mut Outbox) {
         let Some(entry) = self.numbers.remove(vm) else { return };
         self.names.remove(&entry);
         self.watches.remove(vm);
@@ -166,7 +172,7 @@
     }
 
     /// Takes news that a daemon has seen and passes on what is new.
-    pub(crate) fn health(
+    pub(crate) fn on_health(
         &mut self,
         from: &VmName,
         health: Health,
@@ -190,7 +196,7 @@
 
     /// Takes a load report. One that is younger than the news that the endpoint was leaving
     /// tells whether it still is.
-    pub(crate) fn report(
+    pub(crate) fn on_load_report(
         &mut self,
         from: &VmName,
         report: Report,
@@ -204,7 +210,7 @@
             |news: HealthNews| Health { endpoint: report.endpoint.clone(), news: news.into() };
         let noticed = self.leaving.get(report.endpoint.as_str()).copied();
         match (report.leaving, noticed) {
-            (true, _) => self.health(from, news(HealthNews::Leaving), daemons, now, out),
+            (true, _) => self.on_health(from, news(HealthNews::Leaving), daemons, now, out),
             (false, Some(noticed)) if noticed < load.at => {
                 self.leaving.remove(report.endpoint.as_str());
                 self.scheduler.endpoint_leaving(&report.endpoint, false);
@@ -224,7 +230,7 @@
     }
 
     /// Takes word that an endpoint has rejected a request of a daemon.
-    pub(crate) fn rejected(&mut self, from: &VmName, rejected: Rejected, now: Instant) {
+    pub(crate) fn on_rejection(&mut self, from: &VmName, rejected: Rejected, now: Instant) {
         let rejection = rejected.decode();
         let daemon = self.number(from);
         self.scheduler.rejected(daemon, &rejection, now);
@@ -252,12 +258,12 @@
     }
 
     /// Takes what a daemon has read of the limits that endpoints name.
-    pub(crate) fn limits_read(&mut self, news: LimitNews, now: Instant) {
+    pub(crate) fn on_rate_limits(&mut self, news: LimitNews, now: Instant) {
         self.limits.read(news, &mut self.scheduler.throttle, now);
     }
 
     /// Takes a daemon's request for a permit at endpoints that name limits.
-    pub(crate) fn permit_query(
+    pub(crate) fn on_permit_query(
         &mut self,
         from: &VmName,
         ask: PermitQuery,
@@ -268,7 +274,7 @@
     }
 
     /// Some of the limits that endpoints name, the next ones at each call.
-    pub(crate) fn some_limits(&mut self, now: Instant) -> Vec<LimitWord> {
+    pub(crate) fn next_rate_limits(&mut self, now: Instant) -> Vec<LimitWord> {
         self.limits.some(&self.scheduler.throttle, now)
     }
 
@@ -278,7 +284,7 @@
     }
 
     /// Some of the endpoints that are slower than others, the next ones at each call.
-    pub(crate) fn some_slow(&mut self, now: Instant) -> Vec<SlowEndpoint> {
+    pub(crate) fn next_slow_endpoints(&mut self, now: Instant) -> Vec<SlowEndpoint> {
         let slow = &mut self.slow;
         if slow.look <= now {
             let of = |(name, slowness): (Arc<str>, f64)| {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -205,7 +205,7 @@
     }
 
     /// The limit that an endpoint names, if it does.
-    pub fn limit(&self, endpoint: &str) -> Option<RateLimit> {
+    pub fn rate_limit(&self, endpoint: &str) -> Option<RateLimit> {
         self.placing.local().throttle.limit(endpoint)
     }
 
@@ -221,7 +221,7 @@
 
     /// The chance that an answer would end within this time, by the lengths and paces that this
     /// daemon has seen itself.
-    pub fn chance_to_end(&self, req: &Request, within: Duration, now: Instant) -> f64 {
+    pub fn completion_probability(&self, req: &Request, within: Duration, now: Instant) -> f64 {
         self.placing.local().chance_to_end(req, within, now)
     }
 
--- a/crates/core/src/node/tests/limits.rs
+++ b/crates/core/src/node/tests/limits.rs
@@ -137,7 +137,7 @@
 
 /// The limit that a daemon knows of.
 fn limit_at(net: &Net, vm: &VmName) -> Option<f64> {
-    let limit = net.hosts[vm].node.as_ref().and_then(|node: &Node| node.limit(ENDPOINT));
+    let limit = net.hosts[vm].node.as_ref().and_then(|node: &Node| node.rate_limit(ENDPOINT));
     limit.map(RateLimit::per_second)
 }
 
--- a/crates/server/src/runtime/mod.rs
+++ b/crates/server/src/runtime/mod.rs
@@ -169,7 +169,7 @@
 
     /// The chance that an answer to this request would end within this time.
     pub(crate) fn chance_to_end(&self, req: &Request, within: Duration) -> f64 {
-        self.0.node.borrow().chance_to_end(req, within, self.now())
+        self.0.node.borrow().completion_probability(req, within, self.now())
     }
 
     /// The name by which all daemons know a request again.
@@ -186,7 +186,7 @@
 
     /// The limit that an endpoint names, if it does.
     pub(crate) fn limit(&self, endpoint: &str) -> Option<RateLimit> {
-        self.0.node.borrow().limit(endpoint)
+        self.0.node.borrow().rate_limit(endpoint)
     }
 
     /// Whether an endpoint may be sent a request, as far as it has rejected some.
