--- a/crates/server/src/relay/admission.rs
+++ b/crates/server/src/relay/admission.rs
@@ -49,7 +49,7 @@
         let body = read_whole(body, limits.max_body as usize, limits.idle_timeout)
             .await
             .map_err(|e| refused(&id, read_error(&e)))?;
-        let most = caller.time_left.unwrap_or(self.options.recovers_within) / QUEUE_PART;
+        let most = caller.time_left.unwrap_or(self.options.config_recovery_timeout) / QUEUE_PART;
         let most = if self.uses(Mechanism::StartPatience) { most } else { Duration::ZERO };
         let Some(config) = self.current_config(arrived + most).await else {
             let message = "this daemon has no configuration that is known to be current";
@@ -138,7 +138,7 @@
         }
         let since = self.outdated_since.get().unwrap_or_else(Instant::now);
         self.outdated_since.set(Some(since));
-        Some(since + self.options.recovers_within)
+        Some(since + self.options.config_recovery_timeout)
     }
 
     /// Whether the configuration in force was confirmed recently enough to run requests by
--- a/crates/server/src/relay/budget.rs
+++ b/crates/server/src/relay/budget.rs
@@ -22,17 +22,17 @@
 impl RepeatBudget {
     /// Counts a caller's request.
     pub(super) fn note_request(&mut self, options: &RelayOptions, now: Instant) {
-        forget(&mut self.requests, options.repeat_window, now);
+        forget(&mut self.requests, options.retry_window, now);
         self.requests.push_back(now);
     }
 
     /// Counts a repeat if there may be one more.
     pub(super) fn take(&mut self, options: &RelayOptions, daemons: u64, now: Instant) -> bool {
-        forget(&mut self.requests, options.repeat_window, now);
-        forget(&mut self.repeats, options.repeat_window, now);
+        forget(&mut self.requests, options.retry_window, now);
+        forget(&mut self.repeats, options.retry_window, now);
         let daemons = if daemons == 0 { ASSUMED_DAEMONS } else { daemons };
-        let by_requests = options.repeat_ratio * self.requests.len() as f64;
-        let allowed = USED * (by_requests + options.repeat_slack / daemons as f64);
+        let by_requests = options.retry_ratio * self.requests.len() as f64;
+        let allowed = USED * (by_requests + options.retry_slack / daemons as f64);
         let taken = (self.repeats.len() + 1) as f64 <= allowed;
         if taken {
             self.repeats.push_back(now);
--- a/crates/server/src/relay/call.rs
+++ b/crates/server/src/relay/call.rs
@@ -311,10 +311,10 @@
 async fn ask(relay: &Relay, job: &Job, turn: &QuarantineTurn, endpoint: &Registered) -> Sent {
     let protocol = &*relay.protocol;
     let req = job.request(protocol, &endpoint.id, endpoint.address, &GoOn::default());
-    let connect_limit = relay.options.connect_limit.min(job.time_left());
+    let connect_timeout = relay.options.connect_timeout.min(job.time_left());
     let asked = relay.node.now();
     let may_send = || relay.may_send(endpoint);
-    let opened = exchange_if(endpoint.address, req, connect_limit, may_send).await;
+    let opened = exchange_if(endpoint.address, req, connect_timeout, may_send).await;
     let open = match opened {
         Ok(open) => open,
         Err(SendError::Withheld(problem)) => {
--- a/crates/server/src/relay/ended.rs
+++ b/crates/server/src/relay/ended.rs
@@ -46,7 +46,7 @@
         endpoint: &Registered,
         events: u64,
     ) {
-        let limit = self.options.connect_limit;
+        let limit = self.options.connect_timeout;
         let (after, connection) = look_at(endpoint.address, limit).await;
         self.metrics.broke_off(&job.service, name(after));
         log::info!(
--- a/crates/server/src/relay/generation.rs
+++ b/crates/server/src/relay/generation.rs
@@ -249,7 +249,7 @@
     // What its memory lies at may go on there whatever it says: it runs there already.
     let is_there = go_on.memory.as_ref().is_some_and(|memory| memory.source == known.address);
     let may_send = || if is_there { relay.may_go_on(known) } else { relay.may_send(known) };
-    let opened = exchange_if(known.address, req, relay.options.connect_limit, may_send).await;
+    let opened = exchange_if(known.address, req, relay.options.connect_timeout, may_send).await;
     let open = match opened {
         Ok(open) => open,
         Err(SendError::Withheld(problem)) => return Err(Lost::Withheld(problem)),
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -74,19 +74,19 @@
     /// The configuration must have been confirmed within this time for a request to run.
     pub max_config_age: Duration,
     /// Repeats that all entries together may send, as a part of the requests.
-    pub repeat_ratio: f64,
+    pub retry_ratio: f64,
     /// Repeats that all entries together may send beside that in a window.
-    pub repeat_slack: f64,
+    pub retry_slack: f64,
     /// The window in which requests and repeats are counted.
-    pub repeat_window: Duration,
+    pub retry_window: Duration,
     /// Longest time until a connection to an endpoint is up.
-    pub connect_limit: Duration,
+    pub connect_timeout: Duration,
     /// Longest time for one copy of a generation's memory.
-    pub copy_limit: Duration,
+    pub copy_timeout: Duration,
     /// A daemon that has just become unable to confirm its configuration, by a start or by
     /// standing still, can again within this time: requests wait for it as long, and are refused
     /// at once after that.
-    pub recovers_within: Duration,
+    pub config_recovery_timeout: Duration,
     /// Mechanisms that are switched off.
     pub disabled: Disabled,
 }
--- a/crates/server/src/relay/moves.rs
+++ b/crates/server/src/relay/moves.rs
@@ -138,8 +138,8 @@
 /// Frees a copy at both engines. One that cannot be freed expires after some seconds.
 pub(super) async fn free(relay: &Relay, memory: &MemoryAt) {
     let req = relay.protocol.free_request(&memory.handle);
-    let freed = exchange(memory.source, req, relay.options.connect_limit);
-    match timeout(relay.options.copy_limit, freed).await {
+    let freed = exchange(memory.source, req, relay.options.connect_timeout);
+    match timeout(relay.options.copy_timeout, freed).await {
         Ok(Ok(_)) => {}
         Ok(Err(e)) => log::debug!("a copy was not freed: {e}"),
         Err(_) => log::debug!("a copy was not freed: no answer in time"),
@@ -155,12 +155,14 @@
     let ask = async {
         let asked = relay.node.now();
         let req = relay.protocol.copy_request(order);
-        let open = exchange(from.address, req, relay.options.connect_limit).await;
+        let open = exchange(from.address, req, relay.options.connect_timeout).await;
         let open = open.map_err(|e: SendError| e.to_string())?;
         let head = open.head;
         relay.on_own_answer(service, from, asked, &head);
         let body = open.body.collect(MAX_ANSWER).await?;
         Ok(relay.protocol.read_copied(&head, &body))
     };
-    timeout(relay.options.copy_limit, ask).await.map_err(|_| "the copy took too long".to_owned())?
+    timeout(relay.options.copy_timeout, ask)
+        .await
+        .map_err(|_| "the copy took too long".to_owned())?
 }
--- a/crates/server/src/relay/tests/budget.rs
+++ b/crates/server/src/relay/tests/budget.rs
@@ -12,12 +12,12 @@
 fn options() -> RelayOptions {
     RelayOptions {
         max_config_age: Duration::from_secs(4),
-        repeat_ratio: 0.2,
-        repeat_slack: 54.0,
-        repeat_window: Duration::from_secs(10),
-        connect_limit: Duration::from_secs(1),
-        copy_limit: Duration::from_secs(1),
-        recovers_within: Duration::from_secs(1),
+        retry_ratio: 0.2,
+        retry_slack: 54.0,
+        retry_window: Duration::from_secs(10),
+        connect_timeout: Duration::from_secs(1),
+        copy_timeout: Duration::from_secs(1),
+        config_recovery_timeout: Duration::from_secs(1),
         disabled: Disabled::default(),
     }
 }
@@ -49,11 +49,11 @@
                 requests.push(now);
             }
         }
-        let window = options.repeat_window.as_micros() as u64;
+        let window = options.retry_window.as_micros() as u64;
         for end in &repeats {
             let inside = |at: &&u64| **at <= *end && *end < **at + window;
-            let allowed = options.repeat_slack
-                + options.repeat_ratio * requests.iter().filter(inside).count() as f64;
+            let allowed = options.retry_slack
+                + options.retry_ratio * requests.iter().filter(inside).count() as f64;
             prop_assert!(repeats.iter().filter(inside).count() as f64 <= allowed);
         }
     }
@@ -65,7 +65,7 @@
     let mut budget = RepeatBudget::default();
     while budget.take(&options, 9, Instant(0)) {}
 
-    let later = Instant(options.repeat_window.as_micros() as u64);
+    let later = Instant(options.retry_window.as_micros() as u64);
 
     expect_that!(budget.take(&options, 9, later), eq(true));
 }
--- a/crates/server/src/relay/tests/entry.rs
+++ b/crates/server/src/relay/tests/entry.rs
@@ -168,8 +168,8 @@
     }
 
     /// Starts an entry without a configuration. Requests wait this long for one.
-    pub(super) fn start(recovers_within: Duration) -> Entry {
-        Entry::spawn(runtime_options(Some(new_folder())), recovers_within)
+    pub(super) fn start(config_recovery_timeout: Duration) -> Entry {
+        Entry::spawn(runtime_options(Some(new_folder())), config_recovery_timeout)
     }
 
     /// An entry that has its configuration from a control VM which can no longer be reached.
@@ -178,8 +178,8 @@
     }
 
     /// The same; requests wait this long for a configuration that is known to be current.
-    pub(super) async fn confirmed_once(recovers_within: Duration) -> Entry {
-        let entry = Entry::spawn(runtime_options(None), recovers_within);
+    pub(super) async fn confirmed_once(config_recovery_timeout: Duration) -> Entry {
+        let entry = Entry::spawn(runtime_options(None), config_recovery_timeout);
         entry.confirm_by_a_leader_that_is_lost();
         entry.until(|| entry.node.view().ready()).await;
         entry
@@ -208,17 +208,17 @@
         self.node.input(Input::LinkDown(leader));
     }
 
-    fn spawn(options: RuntimeOptions, recovers_within: Duration) -> Entry {
+    fn spawn(options: RuntimeOptions, config_recovery_timeout: Duration) -> Entry {
         let metrics = Rc::new(Metrics::new().unwrap());
         let node = NodeHandle::spawn(options, metrics.clone()).unwrap();
         let options = RelayOptions {
             max_config_age: LIMIT,
-            repeat_ratio: 0.2,
-            repeat_slack: 50.0,
-            repeat_window: Duration::from_secs(10),
-            connect_limit: LIMIT,
-            copy_limit: LIMIT,
-            recovers_within,
+            retry_ratio: 0.2,
+            retry_slack: 50.0,
+            retry_window: Duration::from_secs(10),
+            connect_timeout: LIMIT,
+            copy_timeout: LIMIT,
+            config_recovery_timeout,
             disabled: Disabled::default(),
         };
         let protocol = Box::new(TestProtocol);
--- a/crates/server/src/relay/unscheduled.rs
+++ b/crates/server/src/relay/unscheduled.rs
@@ -112,7 +112,7 @@
     req: Request<Full<Bytes>>,
 ) -> Option<(response::Parts, Bytes)> {
     let known = relay.node.view().endpoint(endpoint)?;
-    let limit = relay.options.connect_limit;
+    let limit = relay.options.connect_timeout;
     let asked = relay.node.now();
     let whole = async {
         let open = exchange(known.address, req, limit).await.map_err(|e| e.to_string())?;
