--- a/crates/server/src/relay/job.rs
+++ b/crates/server/src/relay/job.rs
@@ -13,7 +13,7 @@
     quarantine::{RequestDigest, RequestIdentity},
 };
 
-use super::{Attempt, CallerRequest, InProgress, MemoryAt, Protocol, Relay};
+use super::{Attempt, CallerRequest, InProgress, KvCopy, Protocol, Relay};
 use crate::telemetry::{EventId, Metrics};
 
 /// Rank of requests whose tier is not known: after all others.
@@ -49,7 +49,7 @@
     /// The last event that the caller has.
     pub(super) after: Option<u64>,
     /// Where the generation's memory lies.
-    pub(super) memory: Option<MemoryAt>,
+    pub(super) memory: Option<KvCopy>,
     /// The name of the place that the engine keeps.
     pub(super) reservation: Option<String>,
 }
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -52,7 +52,7 @@
 };
 pub use self::{
     protocol::{
-        Answer, Attempt, CallerRequest, Copied, CopyOrder, MemoryAt, Prompt, Protocol,
+        Answer, Attempt, CallerRequest, CopyCommand, CopyReply, KvCopy, Prompt, Protocol,
         RejectionReason, Reserved,
     },
     unscheduled::Reservation,
--- a/crates/server/src/relay/moves.rs
+++ b/crates/server/src/relay/moves.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 use trayswitch_core::registry::Registered;
 
-use super::{Copied, CopyOrder, Job, MemoryAt, Relay};
+use super::{CopyCommand, CopyReply, Job, KvCopy, Relay};
 use crate::{
     edge::LocalFuture,
     upstream::{SendError, exchange},
@@ -24,7 +24,7 @@
     /// The generation has stopped and its memory lies ready.
     Stopped {
         /// Where.
-        memory: MemoryAt,
+        memory: KvCopy,
         /// The endpoint that has the copy.
         to: Arc<str>,
     },
@@ -105,13 +105,13 @@
     progress: Rc<Progress>,
 ) -> MoveEnd {
     let source = from.address;
-    let order = |last| CopyOrder { id: &job.caller.id, to: to.address, last };
+    let order = |last| CopyCommand { id: &job.caller.id, to: to.address, is_final: last };
     let first = match copy(&relay, &job.service, &from, &order(false)).await {
-        Ok(Copied::Done { handle, .. }) => MemoryAt { source, handle },
-        Ok(Copied::NoSuchRun) => return MoveEnd::NoSuchRun,
-        Ok(Copied::Busy) => return MoveEnd::Failed("another copy is on its way".into()),
-        Ok(Copied::Refused { .. }) => return MoveEnd::Failed("no room for the copy".into()),
-        Ok(Copied::Malformed) => return MoveEnd::Failed("malformed answer".into()),
+        Ok(CopyReply::Done { handle, .. }) => KvCopy { source, handle },
+        Ok(CopyReply::NotRunning) => return MoveEnd::NoSuchRun,
+        Ok(CopyReply::Busy) => return MoveEnd::Failed("another copy is on its way".into()),
+        Ok(CopyReply::Refused { .. }) => return MoveEnd::Failed("no room for the copy".into()),
+        Ok(CopyReply::Malformed) => return MoveEnd::Failed("malformed answer".into()),
         Err(problem) => return MoveEnd::Failed(problem),
     };
     if progress.abandoned.get() {
@@ -120,23 +120,23 @@
     }
     progress.stopping.set(true);
     match copy(&relay, &job.service, &from, &order(true)).await {
-        Ok(Copied::Done { handle, .. }) => {
-            MoveEnd::Stopped { memory: MemoryAt { source, handle }, to: to.id }
+        Ok(CopyReply::Done { handle, .. }) => {
+            MoveEnd::Stopped { memory: KvCopy { source, handle }, to: to.id }
         }
         // It has stopped, and its memory is still where it was.
-        Ok(Copied::Refused { handle: Some(handle) }) => {
-            MoveEnd::Stopped { memory: MemoryAt { source, handle }, to: from.id }
+        Ok(CopyReply::Refused { handle: Some(handle) }) => {
+            MoveEnd::Stopped { memory: KvCopy { source, handle }, to: from.id }
         }
-        Ok(Copied::NoSuchRun) => MoveEnd::NoSuchRun,
-        Ok(Copied::Busy) => MoveEnd::Failed("another copy is on its way".into()),
-        Ok(Copied::Refused { handle: None }) => MoveEnd::Failed("no room for the copy".into()),
-        Ok(Copied::Malformed) => MoveEnd::Failed("malformed answer".into()),
+        Ok(CopyReply::NotRunning) => MoveEnd::NoSuchRun,
+        Ok(CopyReply::Busy) => MoveEnd::Failed("another copy is on its way".into()),
+        Ok(CopyReply::Refused { handle: None }) => MoveEnd::Failed("no room for the copy".into()),
+        Ok(CopyReply::Malformed) => MoveEnd::Failed("malformed answer".into()),
         Err(problem) => MoveEnd::Failed(problem),
     }
 }
 
 /// Frees a copy at both engines. One that cannot be freed expires after some seconds.
-pub(super) async fn free(relay: &Relay, memory: &MemoryAt) {
+pub(super) async fn free(relay: &Relay, memory: &KvCopy) {
     let req = relay.protocol.free_request(&memory.handle);
     let freed = exchange(memory.source, req, relay.options.connect_timeout);
     match timeout(relay.options.copy_timeout, freed).await {
@@ -150,8 +150,8 @@
     relay: &Relay,
     service: &str,
     from: &Registered,
-    order: &CopyOrder<'_>,
-) -> Result<Copied, String> {
+    order: &CopyCommand<'_>,
+) -> Result<CopyReply, String> {
     let ask = async {
         let asked = relay.node.now();
         let req = relay.protocol.copy_request(order);
@@ -160,7 +160,7 @@
         let head = open.head;
         relay.on_own_answer(service, from, asked, &head);
         let body = open.body.collect(MAX_ANSWER).await?;
-        Ok(relay.protocol.read_copied(&head, &body))
+        Ok(relay.protocol.decode_copy_reply(&head, &body))
     };
     timeout(relay.options.copy_timeout, ask)
         .await
--- a/crates/server/src/relay/protocol.rs
+++ b/crates/server/src/relay/protocol.rs
@@ -53,7 +53,7 @@
     /// The last event that the caller has, when a generation goes on.
     pub after: Option<u64>,
     /// Where the memory of a generation lies that goes on.
-    pub memory: Option<&'a MemoryAt>,
+    pub memory: Option<&'a KvCopy>,
     /// The name of the place that the engine keeps for it.
     pub reservation: Option<&'a str>,
 }
@@ -82,7 +82,7 @@
 
 /// A copy of a generation's memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MemoryAt {
+pub struct KvCopy {
     /// The engine that it was copied from.
     pub source: SocketAddr,
     /// The copy's name.
@@ -114,27 +114,27 @@
 
 /// An order to copy the memory of a running generation.
 #[derive(Debug, Clone)]
-pub struct CopyOrder<'a> {
+pub struct CopyCommand<'a> {
     /// The caller's name for the request.
     pub id: &'a str,
     /// The engine that receives the copy.
     pub to: SocketAddr,
     /// Whether the generation stops first, so that the copy is final.
-    pub last: bool,
+    pub is_final: bool,
 }
 
-/// What an engine answered to a [`CopyOrder`].
+/// What an engine answered to a [`CopyCommand`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Copied {
+pub enum CopyReply {
     /// The copy is complete.
     Done {
         /// Its name.
         handle: String,
         /// Events produced so far.
-        made: u64,
+        events: u64,
     },
     /// The generation does not run there (any more).
-    NoSuchRun,
+    NotRunning,
     /// Another copy of it is on its way.
     Busy,
     /// There is no room or no path; a generation that stopped keeps its memory under the name.
@@ -167,7 +167,7 @@
     fn error(&self, id: &str, error: &RequestError) -> Response<Bytes>;
 
     /// Asks an engine to copy a generation's memory.
-    fn copy_request(&self, order: &CopyOrder<'_>) -> Request<Full<Bytes>>;
+    fn copy_request(&self, order: &CopyCommand<'_>) -> Request<Full<Bytes>>;
 
     /// Asks an engine to free a copy that it has made, there and where it lies.
     fn free_request(&self, handle: &str) -> Request<Full<Bytes>>;
@@ -185,5 +185,5 @@
     fn read_reservation(&self, head: &response::Parts, body: &[u8]) -> Reserved;
 
     /// Reads the answer to [`Protocol::copy_request`].
-    fn read_copied(&self, head: &response::Parts, body: &[u8]) -> Copied;
+    fn decode_copy_reply(&self, head: &response::Parts, body: &[u8]) -> CopyReply;
 }
--- a/crates/server/src/relay/stream/following.rs
+++ b/crates/server/src/relay/stream/following.rs
@@ -8,7 +8,7 @@
 use super::{Cause, Pump};
 use crate::{
     relay::{
-        MemoryAt,
+        KvCopy,
         generation::{Opened, open_at},
         job::GoOn,
         moves::{Move, MoveEnd},
@@ -83,7 +83,7 @@
     /// Goes on elsewhere with a generation that a move has stopped.
     async fn finish_move(
         &mut self,
-        memory: &MemoryAt,
+        memory: &KvCopy,
         from: &Arc<str>,
         to: &Arc<str>,
         took: Duration,
@@ -126,7 +126,7 @@
     /// Goes on at the endpoint that has the copy, or else at the one that stopped.
     async fn go_on(
         &mut self,
-        memory: &MemoryAt,
+        memory: &KvCopy,
         from: &Arc<str>,
         to: &Arc<str>,
     ) -> Result<(), Cause> {
--- a/crates/server/src/relay/stream/mod.rs
+++ b/crates/server/src/relay/stream/mod.rs
@@ -11,7 +11,7 @@
 
 use self::following::next_end;
 use super::{
-    Job, MemoryAt, Relay,
+    Job, KvCopy, Relay,
     generation::{Lost, MAX_WITHHELD, Opened, open_at, place},
     job::GoOn,
     moves::{Move, free},
@@ -50,7 +50,7 @@
     /// A move on its way.
     moving: Option<Move>,
     /// What a move has copied, until the generation goes on with it.
-    copied: Option<MemoryAt>,
+    copied: Option<KvCopy>,
     /// The last event that the caller has.
     last: Option<u64>,
     /// Events passed on so far.
--- a/crates/server/src/relay/tests/moves.rs
+++ b/crates/server/src/relay/tests/moves.rs
@@ -9,7 +9,7 @@
     protocol::memory_text,
     reading::Reading,
 };
-use crate::relay::MemoryAt;
+use crate::relay::KvCopy;
 
 /// A generation that runs at `from`, which leaves; `to` is another engine.
 struct Running {
@@ -64,7 +64,7 @@
             (after, memory, asked)
         });
 
-        let memory_at = MemoryAt { source: from.address(), handle: "h2".to_owned() };
+        let memory_at = KvCopy { source: from.address(), handle: "h2".to_owned() };
         expect_that!(asked, eq(&("r1".to_owned(), true)));
         expect_that!(after, ge(3));
         expect_that!(memory, some(eq(&memory_text(&memory_at))));
@@ -124,7 +124,7 @@
             memory
         });
 
-        let memory_at = MemoryAt { source: from.address(), handle: "h2".to_owned() };
+        let memory_at = KvCopy { source: from.address(), handle: "h2".to_owned() };
         expect_that!(memory, some(eq(&memory_text(&memory_at))));
         expect_that!(whole, ok(eq(&events_to(5))));
         expect_true!(to.is_idle());
--- a/crates/server/src/relay/tests/protocol.rs
+++ b/crates/server/src/relay/tests/protocol.rs
@@ -11,8 +11,8 @@
 };
 
 use crate::relay::{
-    Answer, Attempt, CallerRequest, Copied, CopyOrder, MemoryAt, Prompt, Protocol, RejectionReason,
-    Reservation, Reserved,
+    Answer, Attempt, CallerRequest, CopyCommand, CopyReply, KvCopy, Prompt, Protocol,
+    RejectionReason, Reservation, Reserved,
 };
 
 /// The request's id, in requests and their answers.
@@ -132,8 +132,8 @@
             .unwrap()
     }
 
-    fn copy_request(&self, order: &CopyOrder<'_>) -> Request<Full<Bytes>> {
-        let last = if order.last { "/last" } else { "" };
+    fn copy_request(&self, order: &CopyCommand<'_>) -> Request<Full<Bytes>> {
+        let last = if order.is_final { "/last" } else { "" };
         Request::post(format!("{COPY_PATH}{last}"))
             .header(ID, order.id)
             .body(Full::default())
@@ -167,19 +167,19 @@
         }
     }
 
-    fn read_copied(&self, head: &response::Parts, body: &[u8]) -> Copied {
+    fn decode_copy_reply(&self, head: &response::Parts, body: &[u8]) -> CopyReply {
         let handle = std::str::from_utf8(body).ok().filter(|text| !text.is_empty());
         let handle = handle.map(str::to_owned);
         match (head.status.as_u16(), handle) {
-            (200, Some(handle)) => Copied::Done { handle, made: 0 },
-            (404, _) => Copied::NoSuchRun,
-            (503, handle) => Copied::Refused { handle },
-            _ => Copied::Malformed,
+            (200, Some(handle)) => CopyReply::Done { handle, events: 0 },
+            (404, _) => CopyReply::NotRunning,
+            (503, handle) => CopyReply::Refused { handle },
+            _ => CopyReply::Malformed,
         }
     }
 }
 
 /// The text of [`MEMORY`].
-pub(super) fn memory_text(memory: &MemoryAt) -> String {
+pub(super) fn memory_text(memory: &KvCopy) -> String {
     format!("{}/{}", memory.source, memory.handle)
 }
