--- a/crates/server/src/relay/admission.rs
+++ b/crates/server/src/relay/admission.rs
@@ -41,7 +41,7 @@
         let arrived = Instant::now();
         let refused = |id: &str, error| Refused { id: id.to_owned(), error };
         check_framing(&head).map_err(|e| refused("", e))?;
-        let caller = self.protocol.caller_request(&head).map_err(|e| refused("", e))?;
+        let caller = self.protocol.decode_request(&head).map_err(|e| refused("", e))?;
         let id = caller.id.clone();
         let limits = self.node.view().active_config().map(|f| f.config.limits.clone());
         let limits = limits.unwrap_or_default();
--- a/crates/server/src/relay/call.rs
+++ b/crates/server/src/relay/call.rs
@@ -14,7 +14,7 @@
 };
 
 use super::{
-    Answer, Job, MAX_REJECTIONS, RejectionReason, Relay, ended::Awaited, job::GoOn,
+    Job, MAX_REJECTIONS, RejectionReason, Relay, ResponseClass, ended::Awaited, job::GoOn,
     limited::AttemptKind, loads::Outcome, no_answer, quarantine_turn::QuarantineTurn,
 };
 use crate::{
@@ -328,18 +328,18 @@
             return Sent::new(End::Unknown(problem), Outcome::Unreachable);
         }
     };
-    let success = match protocol.judge(&job.caller.id, &open.head) {
-        Answer::Ran { success } => success,
-        Answer::Rejected(RejectionReason::Overloaded) => {
+    let success = match protocol.classify_response(&job.caller.id, &open.head) {
+        ResponseClass::Executed { success } => success,
+        ResponseClass::Rejected(RejectionReason::Overloaded) => {
             let signals = relay.on_rejection(&job.service, endpoint, asked, &open.head);
             let end = End::NotRun("the endpoint is full".into());
             return Sent { end, outcome: Outcome::Error, signals };
         }
-        Answer::Rejected(RejectionReason::WrongEndpoint) => {
+        ResponseClass::Rejected(RejectionReason::WrongEndpoint) => {
             let end = End::NotRun("another endpoint has the address".into());
             return Sent::new(end, Outcome::Unreachable);
         }
-        Answer::Foreign(problem) => {
+        ResponseClass::Invalid(problem) => {
             relay.on_own_answer(&job.service, endpoint, asked, &open.head);
             return Sent::new(End::Unknown(problem.into()), Outcome::Error);
         }
--- a/crates/server/src/relay/generation.rs
+++ b/crates/server/src/relay/generation.rs
@@ -15,7 +15,7 @@
 };
 
 use super::{
-    Answer, Job, MAX_REJECTIONS, RejectionReason, Relay,
+    Job, MAX_REJECTIONS, RejectionReason, Relay, ResponseClass,
     ended::Awaited,
     job::GoOn,
     no_answer,
@@ -263,23 +263,23 @@
             return Err(Lost::Unknown(problem));
         }
     };
-    match relay.protocol.judge(&job.caller.id, &open.head) {
-        Answer::Rejected(RejectionReason::Overloaded) => {
+    match relay.protocol.classify_response(&job.caller.id, &open.head) {
+        ResponseClass::Rejected(RejectionReason::Overloaded) => {
             *signals = relay.on_rejection(&job.service, known, asked, &open.head);
             return Err(Lost::NotRun("the endpoint is full".into()));
         }
-        Answer::Rejected(RejectionReason::WrongEndpoint) => {
+        ResponseClass::Rejected(RejectionReason::WrongEndpoint) => {
             failed();
             return Err(Lost::NotRun("another endpoint has the address".into()));
         }
-        Answer::Foreign(problem) => {
+        ResponseClass::Invalid(problem) => {
             relay.on_own_answer(&job.service, known, asked, &open.head);
             return Err(Lost::Unknown(problem.into()));
         }
-        Answer::Ran { success: true } => {
+        ResponseClass::Executed { success: true } => {
             *signals = relay.on_answer(&job.service, known, asked, &open.head);
         }
-        Answer::Ran { success: false } => {
+        ResponseClass::Executed { success: false } => {
             *signals = relay.on_answer(&job.service, known, asked, &open.head);
             /// Largest answer of an endpoint that failed.
             const MAX_FAILURE: usize = 1024 * 1024;
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -52,8 +52,8 @@
 };
 pub use self::{
     protocol::{
-        Answer, Attempt, CallerRequest, CopyCommand, CopyReply, KvCopy, Prompt, Protocol,
-        RejectionReason, Reserved,
+        Attempt, CallerRequest, CopyCommand, CopyReply, KvCopy, Prompt, Protocol, RejectionReason,
+        Reserved, ResponseClass,
     },
     unscheduled::Reservation,
 };
@@ -219,7 +219,7 @@
     fn answer(&self, head: &response::Parts, body: Body) -> Response<Body> {
         let mut answer = Response::new(body);
         *answer.status_mut() = head.status;
-        *answer.headers_mut() = self.protocol.answer_headers(head);
+        *answer.headers_mut() = self.protocol.response_headers(head);
         answer
     }
 
@@ -229,13 +229,13 @@
             event = EventId::CallerRefused.number(), id = id, cause = error.kind.answer().code;
             "refused before routing: {}", error.message
         );
-        self.protocol.error(id, error).map(edge::full)
+        self.protocol.error_response(id, error).map(edge::full)
     }
 
     /// Ends a job with an error.
     fn fail(&self, job: &Job, error: &RequestError) -> Response<Body> {
         job.ended(&self.metrics, error.kind.answer().code, &error.message);
-        self.protocol.error(&job.caller.id, error).map(edge::full)
+        self.protocol.error_response(&job.caller.id, error).map(edge::full)
     }
 }
 
--- a/crates/server/src/relay/protocol.rs
+++ b/crates/server/src/relay/protocol.rs
@@ -91,16 +91,16 @@
 
 /// How an endpoint answered, by the head of its answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Answer {
+pub enum ResponseClass {
     /// It says that the request has not run there.
     Rejected(RejectionReason),
     /// The request ran; this is its answer, whatever its status.
-    Ran {
+    Executed {
         /// Whether it ended well.
         success: bool,
     },
     /// These bytes are not the answer to this request.
-    Foreign(&'static str),
+    Invalid(&'static str),
 }
 
 /// Why an endpoint rejected a request.
@@ -149,22 +149,22 @@
 /// Decodes and encodes what callers and endpoints speak.
 pub trait Protocol {
     /// Decodes a caller's request.
-    fn caller_request(&self, head: &request::Parts) -> Result<CallerRequest, RequestError>;
+    fn decode_request(&self, head: &request::Parts) -> Result<CallerRequest, RequestError>;
 
     /// Headers of the request to an endpoint.
     fn attempt_headers(&self, head: &request::Parts, attempt: &Attempt<'_>) -> HeaderMap;
 
     /// Judges an endpoint's answer to the request of this id.
-    fn judge(&self, id: &str, head: &response::Parts) -> Answer;
+    fn classify_response(&self, id: &str, head: &response::Parts) -> ResponseClass;
 
     /// What the endpoint says of itself in its answer.
     fn signals(&self, head: &response::Parts) -> Signals;
 
     /// Headers of an endpoint's answer that are passed on to the caller.
-    fn answer_headers(&self, head: &response::Parts) -> HeaderMap;
+    fn response_headers(&self, head: &response::Parts) -> HeaderMap;
 
     /// The answer to a request that ends in an error.
-    fn error(&self, id: &str, error: &RequestError) -> Response<Bytes>;
+    fn error_response(&self, id: &str, error: &RequestError) -> Response<Bytes>;
 
     /// Asks an engine to copy a generation's memory.
     fn copy_request(&self, order: &CopyCommand<'_>) -> Request<Full<Bytes>>;
@@ -176,13 +176,13 @@
     fn load_request(&self) -> Request<Full<Bytes>>;
 
     /// Reads the answer to [`Protocol::load_request`].
-    fn read_load(&self, head: &response::Parts, body: &[u8]) -> Option<EngineLoad>;
+    fn decode_load(&self, head: &response::Parts, body: &[u8]) -> Option<EngineLoad>;
 
     /// Asks an engine to keep a place.
     fn reservation_request(&self, reservation: &Reservation) -> Request<Full<Bytes>>;
 
     /// Reads the answer to [`Protocol::reservation_request`].
-    fn read_reservation(&self, head: &response::Parts, body: &[u8]) -> Reserved;
+    fn decode_reservation(&self, head: &response::Parts, body: &[u8]) -> Reserved;
 
     /// Reads the answer to [`Protocol::copy_request`].
     fn decode_copy_reply(&self, head: &response::Parts, body: &[u8]) -> CopyReply;
--- a/crates/server/src/relay/tests/protocol.rs
+++ b/crates/server/src/relay/tests/protocol.rs
@@ -11,8 +11,8 @@
 };
 
 use crate::relay::{
-    Answer, Attempt, CallerRequest, CopyCommand, CopyReply, KvCopy, Prompt, Protocol,
-    RejectionReason, Reservation, Reserved,
+    Attempt, CallerRequest, CopyCommand, CopyReply, KvCopy, Prompt, Protocol, RejectionReason,
+    Reservation, Reserved, ResponseClass,
 };
 
 /// The request's id, in requests and their answers.
@@ -65,7 +65,7 @@
 }
 
 impl Protocol for TestProtocol {
-    fn caller_request(&self, head: &request::Parts) -> Result<CallerRequest, RequestError> {
+    fn decode_request(&self, head: &request::Parts) -> Result<CallerRequest, RequestError> {
         Ok(CallerRequest {
             id: header(&head.headers, ID).unwrap_or_default(),
             host: header(&head.headers, header::HOST.as_str()).unwrap_or_default(),
@@ -98,14 +98,14 @@
         headers
     }
 
-    fn judge(&self, id: &str, head: &response::Parts) -> Answer {
+    fn classify_response(&self, id: &str, head: &response::Parts) -> ResponseClass {
         if header::<String>(&head.headers, ID).as_deref() != Some(id) {
-            return Answer::Foreign("the answer is for another request");
+            return ResponseClass::Invalid("the answer is for another request");
         }
         match header::<String>(&head.headers, NOT_RUN).as_deref() {
-            Some("full") => Answer::Rejected(RejectionReason::Overloaded),
-            Some(_) => Answer::Rejected(RejectionReason::WrongEndpoint),
-            None => Answer::Ran { success: head.status.is_success() },
+            Some("full") => ResponseClass::Rejected(RejectionReason::Overloaded),
+            Some(_) => ResponseClass::Rejected(RejectionReason::WrongEndpoint),
+            None => ResponseClass::Executed { success: head.status.is_success() },
         }
     }
 
@@ -119,11 +119,11 @@
         }
     }
 
-    fn answer_headers(&self, head: &response::Parts) -> HeaderMap {
+    fn response_headers(&self, head: &response::Parts) -> HeaderMap {
         head.headers.clone()
     }
 
-    fn error(&self, _: &str, error: &RequestError) -> Response<Bytes> {
+    fn error_response(&self, _: &str, error: &RequestError) -> Response<Bytes> {
         let answer = error.kind.answer();
         Response::builder()
             .status(answer.status)
@@ -149,7 +149,7 @@
     }
 
     /// A load is told as the tokens in memory.
-    fn read_load(&self, _: &response::Parts, body: &[u8]) -> Option<EngineLoad> {
+    fn decode_load(&self, _: &response::Parts, body: &[u8]) -> Option<EngineLoad> {
         let kv_used = std::str::from_utf8(body).ok()?.parse().ok()?;
         Some(EngineLoad { kv_used, kv_tokens: ENGINE_MEMORY, ..EngineLoad::default() })
     }
@@ -159,7 +159,7 @@
         Request::post(format!("{RESERVE_PATH}/{tokens}")).body(Full::default()).unwrap()
     }
 
-    fn read_reservation(&self, head: &response::Parts, body: &[u8]) -> Reserved {
+    fn decode_reservation(&self, head: &response::Parts, body: &[u8]) -> Reserved {
         match head.status.as_u16() {
             200 => Reserved::Kept(String::from_utf8(body.to_vec()).unwrap()),
             404 => Reserved::Unneeded,
--- a/crates/server/src/relay/unscheduled.rs
+++ b/crates/server/src/relay/unscheduled.rs
@@ -86,7 +86,7 @@
 /// The load of an engine, if it tells, and the run that is known tells it.
 async fn load_of(relay: &Relay, endpoint: &Arc<str>) -> Option<EngineLoad> {
     let (head, body) = ask(relay, endpoint, relay.protocol.load_request()).await?;
-    let load = relay.protocol.read_load(&head, &body)?;
+    let load = relay.protocol.decode_load(&head, &body)?;
     let known = relay.node.view().endpoint(endpoint)?.born;
     let is_other = 0 < known && 0 < load.started_at && known != load.started_at;
     (!is_other).then_some(load)
@@ -99,7 +99,7 @@
     let reservation = Reservation { tokens, keep_for: KEEP_FOR.min(longest) };
     let req = relay.protocol.reservation_request(&reservation);
     match ask(relay, endpoint, req).await {
-        Some((head, body)) => relay.protocol.read_reservation(&head, &body),
+        Some((head, body)) => relay.protocol.decode_reservation(&head, &body),
         None => Reserved::Refused,
     }
 }
