--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -53,7 +53,7 @@
 pub use self::{
     protocol::{
         Attempt, CallerRequest, CopyCommand, CopyReply, KvCopy, Prompt, Protocol, RejectionReason,
-        Reserved, ResponseClass,
+        ReservationReply, ResponseClass,
     },
     unscheduled::Reservation,
 };
--- a/crates/server/src/relay/protocol.rs
+++ b/crates/server/src/relay/protocol.rs
@@ -60,22 +60,22 @@
 
 /// What an engine answered to a [`Reservation`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reserved {
+pub enum ReservationReply {
     /// It keeps a place under this name.
-    Kept(String),
+    Granted(String),
     /// It has no room.
-    Refused,
+    Denied,
     /// It need not keep one, or keeps none for anybody.
-    Unneeded,
+    NotRequired,
 }
 
-impl Reserved {
+impl ReservationReply {
     /// Its name in log lines.
     pub fn name(&self) -> &'static str {
         match self {
-            Reserved::Kept(_) => "kept",
-            Reserved::Refused => "refused",
-            Reserved::Unneeded => "unneeded",
+            ReservationReply::Granted(_) => "kept",
+            ReservationReply::Denied => "refused",
+            ReservationReply::NotRequired => "unneeded",
         }
     }
 }
@@ -182,7 +182,7 @@
     fn reservation_request(&self, reservation: &Reservation) -> Request<Full<Bytes>>;
 
     /// Reads the answer to [`Protocol::reservation_request`].
-    fn decode_reservation(&self, head: &response::Parts, body: &[u8]) -> Reserved;
+    fn decode_reservation(&self, head: &response::Parts, body: &[u8]) -> ReservationReply;
 
     /// Reads the answer to [`Protocol::copy_request`].
     fn decode_copy_reply(&self, head: &response::Parts, body: &[u8]) -> CopyReply;
--- a/crates/server/src/relay/tests/protocol.rs
+++ b/crates/server/src/relay/tests/protocol.rs
@@ -12,7 +12,7 @@
 
 use crate::relay::{
     Attempt, CallerRequest, CopyCommand, CopyReply, KvCopy, Prompt, Protocol, RejectionReason,
-    Reservation, Reserved, ResponseClass,
+    Reservation, ReservationReply, ResponseClass,
 };
 
 /// The request's id, in requests and their answers.
@@ -159,11 +159,11 @@
         Request::post(format!("{RESERVE_PATH}/{tokens}")).body(Full::default()).unwrap()
     }
 
-    fn decode_reservation(&self, head: &response::Parts, body: &[u8]) -> Reserved {
+    fn decode_reservation(&self, head: &response::Parts, body: &[u8]) -> ReservationReply {
         match head.status.as_u16() {
-            200 => Reserved::Kept(String::from_utf8(body.to_vec()).unwrap()),
-            404 => Reserved::Unneeded,
-            _ => Reserved::Refused,
+            200 => ReservationReply::Granted(String::from_utf8(body.to_vec()).unwrap()),
+            404 => ReservationReply::NotRequired,
+            _ => ReservationReply::Denied,
         }
     }
 
--- a/crates/server/src/relay/unscheduled.rs
+++ b/crates/server/src/relay/unscheduled.rs
@@ -17,7 +17,7 @@
     wire::HealthNews,
 };
 
-use super::{Job, Relay, Reserved};
+use super::{Job, Relay, ReservationReply};
 use crate::{runtime::Placed, telemetry::EventId, upstream::exchange};
 
 /// Largest answer to a question for load or a place.
@@ -33,7 +33,7 @@
     /// Memory, in tokens.
     pub tokens: u64,
     /// How long it is kept.
-    pub keep_for: Duration,
+    pub ttl: Duration,
 }
 
 /// Neither of the engines that were drawn has room.
@@ -56,14 +56,14 @@
     sort_by_cost(&mut candidates, prompt);
     for (SampledEndpoint { endpoint, .. }, load) in &candidates {
         let reserved = match load {
-            Some(load) if !load.is_tight(prompt) => Reserved::Unneeded,
+            Some(load) if !load.is_tight(prompt) => ReservationReply::NotRequired,
             _ => reserve(relay, job, endpoint, prompt.saturating_add(FIRST_TOKENS)).await,
         };
         note(job, endpoint, *load, &reserved);
         let name = match reserved {
-            Reserved::Kept(name) => Some(name),
-            Reserved::Unneeded => None,
-            Reserved::Refused => continue,
+            ReservationReply::Granted(name) => Some(name),
+            ReservationReply::NotRequired => None,
+            ReservationReply::Denied => continue,
         };
         if *endpoint != *placed.endpoint() {
             placed.moved(endpoint, true);
@@ -73,7 +73,7 @@
     Err(NoRoom)
 }
 
-fn note(job: &Job, endpoint: &Arc<str>, load: Option<EngineLoad>, reserved: &Reserved) {
+fn note(job: &Job, endpoint: &Arc<str>, load: Option<EngineLoad>, reserved: &ReservationReply) {
     let load = load.unwrap_or_default();
     log::info!(
         event = EventId::PlacedAlone.number(), id = job.caller.id.as_str(), endpoint = &**endpoint,
@@ -92,15 +92,15 @@
     (!is_other).then_some(load)
 }
 
-async fn reserve(relay: &Relay, job: &Job, endpoint: &Arc<str>, tokens: u64) -> Reserved {
+async fn reserve(relay: &Relay, job: &Job, endpoint: &Arc<str>, tokens: u64) -> ReservationReply {
     let service = job.config.config.services.get(&job.service);
     let longest = service.and_then(|service| service.engine.as_ref()?.longest_reservation);
-    let Some(longest) = longest else { return Reserved::Unneeded };
-    let reservation = Reservation { tokens, keep_for: KEEP_FOR.min(longest) };
+    let Some(longest) = longest else { return ReservationReply::NotRequired };
+    let reservation = Reservation { tokens, ttl: KEEP_FOR.min(longest) };
     let req = relay.protocol.reservation_request(&reservation);
     match ask(relay, endpoint, req).await {
         Some((head, body)) => relay.protocol.decode_reservation(&head, &body),
-        None => Reserved::Refused,
+        None => ReservationReply::Denied,
     }
 }
 
