--- a/crates/server/src/relay/generation.rs
+++ b/crates/server/src/relay/generation.rs
@@ -98,7 +98,7 @@
         if relay.must_ask_again(job, &turn) {
             continue;
         }
-        let go_on = GoOn { after: job.caller.after, memory: None, reservation };
+        let go_on = GoOn { last_event_id: job.caller.last_event_id, kv_copy: None, reservation };
         let opened = open_at(relay, job, &turn, placed.endpoint(), &go_on);
         let opened = until(job.deadline, opened).await;
         let opened = opened.map_err(|_| no_answer(starts + 1, "the time is over"))?;
@@ -192,7 +192,7 @@
         event = EventId::AttemptEnded.number(), id = job.caller.id.as_str(),
         endpoint = &**endpoint, end = name, detail = detail.as_str(),
         config = inputs.config, config_age_ms = inputs.config_age_ms,
-        after = go_on.after.unwrap_or(0), took_ms = began.elapsed().as_millis() as u64,
+        after = go_on.last_event_id.unwrap_or(0), took_ms = began.elapsed().as_millis() as u64,
         limit = signals.describe_limit().as_str(),
         backoff_ms = signals.describe_backoff().as_str(), leaving = signals.is_leaving();
         "an attempt ended"
@@ -243,11 +243,11 @@
         let news = Input::Health(known.id.clone(), HealthNews::Failed);
         relay.node.input(news);
     };
-    let broke_off = || relay.broke_off(job, turn, known, go_on.after.unwrap_or(0));
+    let broke_off = || relay.broke_off(job, turn, known, go_on.last_event_id.unwrap_or(0));
     let req = job.request(&*relay.protocol, &known.id, known.address, go_on);
     let asked = relay.node.now();
     // What its memory lies at may go on there whatever it says: it runs there already.
-    let is_there = go_on.memory.as_ref().is_some_and(|memory| memory.source == known.address);
+    let is_there = go_on.kv_copy.as_ref().is_some_and(|copy| copy.source == known.address);
     let may_send = || if is_there { relay.may_go_on(known) } else { relay.may_send(known) };
     let opened = exchange_if(known.address, req, relay.options.connect_timeout, may_send).await;
     let open = match opened {
--- a/crates/server/src/relay/job.rs
+++ b/crates/server/src/relay/job.rs
@@ -47,9 +47,9 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct GoOn {
     /// The last event that the caller has.
-    pub(super) after: Option<u64>,
+    pub(super) last_event_id: Option<u64>,
     /// Where the generation's memory lies.
-    pub(super) memory: Option<KvCopy>,
+    pub(super) kv_copy: Option<KvCopy>,
     /// The name of the place that the engine keeps.
     pub(super) reservation: Option<String>,
 }
@@ -99,8 +99,8 @@
             time_left: self.caller_time_left(),
             workspace: self.workspace.as_deref(),
             priority: self.route.spec.kind.is_generation().then(|| self.priority()),
-            after: go_on.after.or(self.caller.after),
-            memory: go_on.memory.as_ref(),
+            last_event_id: go_on.last_event_id.or(self.caller.last_event_id),
+            kv_copy: go_on.kv_copy.as_ref(),
             reservation: go_on.reservation.as_deref(),
         };
         let mut req = Request::new(Full::new(self.body.clone()));
@@ -136,8 +136,8 @@
             kind: self.route.name.clone(),
             target: EndpointTarget::Model(self.service.clone()),
             prompt_tokens: prompt.tokens,
-            prefix: PrefixHash(prompt.shared_prefix),
-            max_tokens: prompt.max_output.max(1),
+            prefix: PrefixHash(prompt.shared_prefix_hash),
+            max_tokens: prompt.max_output_tokens.max(1),
             max_wait: max_wait.min(self.time_left()),
             first_within,
             avoid,
--- a/crates/server/src/relay/protocol.rs
+++ b/crates/server/src/relay/protocol.rs
@@ -23,7 +23,7 @@
     /// The prompt of a generation.
     pub prompt: Option<Prompt>,
     /// The last event that the caller has of an answer that broke off.
-    pub after: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// The prompt of a generation.
@@ -32,11 +32,11 @@
     /// Tokens of the prompt.
     pub tokens: u64,
     /// Most tokens that the answer may have.
-    pub max_output: u64,
+    pub max_output_tokens: u64,
     /// Tokens that the caller expects; right at the median, often far off.
-    pub likely_output: Option<u64>,
+    pub expected_output_tokens: Option<u64>,
     /// Hash of the part that other prompts share.
-    pub shared_prefix: u64,
+    pub shared_prefix_hash: u64,
 }
 
 /// One attempt at an endpoint.
@@ -51,9 +51,9 @@
     /// Urgency for an engine, 0 first.
     pub priority: Option<u64>,
     /// The last event that the caller has, when a generation goes on.
-    pub after: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Where the memory of a generation lies that goes on.
-    pub memory: Option<&'a KvCopy>,
+    pub kv_copy: Option<&'a KvCopy>,
     /// The name of the place that the engine keeps for it.
     pub reservation: Option<&'a str>,
 }
--- a/crates/server/src/relay/stream/following.rs
+++ b/crates/server/src/relay/stream/following.rs
@@ -130,7 +130,8 @@
         from: &Arc<str>,
         to: &Arc<str>,
     ) -> Result<(), Cause> {
-        let go_on = GoOn { after: self.last, memory: Some(memory.clone()), ..GoOn::default() };
+        let go_on =
+            GoOn { last_event_id: self.last, kv_copy: Some(memory.clone()), ..GoOn::default() };
         let mut problem = String::new();
         let endpoints = if to == from { &[from][..] } else { &[to, from] };
         for endpoint in endpoints.iter().copied() {
--- a/crates/server/src/relay/stream/mod.rs
+++ b/crates/server/src/relay/stream/mod.rs
@@ -72,7 +72,7 @@
         tx: mpsc::Sender<Result<Bytes, AnswerError>>,
     ) -> Pump {
         let orders = placed.orders();
-        let last = job.caller.after;
+        let last = job.caller.last_event_id;
         Pump {
             relay,
             job: Rc::new(job),
@@ -263,7 +263,7 @@
         let mut avoid = vec![self.placed.endpoint().clone()];
         let opened = loop {
             let reservation = self.place_again(&avoid, &problem).await?;
-            let go_on = GoOn { after: self.last, memory: None, reservation };
+            let go_on = GoOn { last_event_id: self.last, kv_copy: None, reservation };
             let endpoint = self.placed.endpoint();
             let opened = open_at(&self.relay, &self.job, &self.turn, endpoint, &go_on);
             let opened = until(self.job.deadline, opened).await.map_err(|_| Cause::TimeOver)?;
--- a/crates/server/src/relay/tests/protocol.rs
+++ b/crates/server/src/relay/tests/protocol.rs
@@ -71,10 +71,10 @@
             host: header(&head.headers, header::HOST.as_str()).unwrap_or_default(),
             prompt: Some(Prompt {
                 tokens: PROMPT_TOKENS,
-                max_output: MAX_OUTPUT,
+                max_output_tokens: MAX_OUTPUT,
                 ..Prompt::default()
             }),
-            after: header(&head.headers, AFTER),
+            last_event_id: header(&head.headers, AFTER),
             ..CallerRequest::default()
         })
     }
@@ -86,11 +86,11 @@
         };
         set(ID, header(&head.headers, ID).unwrap_or_default());
         set(ENDPOINT, attempt.endpoint.to_owned());
-        if let Some(after) = attempt.after {
-            set(AFTER, after.to_string());
+        if let Some(last_event_id) = attempt.last_event_id {
+            set(AFTER, last_event_id.to_string());
         }
-        if let Some(memory) = attempt.memory {
-            set(MEMORY, format!("{}/{}", memory.source, memory.handle));
+        if let Some(copy) = attempt.kv_copy {
+            set(MEMORY, format!("{}/{}", copy.source, copy.handle));
         }
         if let Some(reservation) = attempt.reservation {
             set(RESERVATION, reservation.to_owned());
@@ -180,6 +180,6 @@
 }
 
 /// The text of [`MEMORY`].
-pub(super) fn memory_text(memory: &KvCopy) -> String {
-    format!("{}/{}", memory.source, memory.handle)
+pub(super) fn memory_text(copy: &KvCopy) -> String {
+    format!("{}/{}", copy.source, copy.handle)
 }
