--- a/crates/core/src/node/dispatcher.rs
+++ b/crates/core/src/node/dispatcher.rs
@@ -10,8 +10,8 @@
 };
 
 use super::{
-    ByVm, Outbox, VmName, admit, broadcast::Broadcast, engines::Engines, limits::Limits,
-    load_report,
+    ByVm, Outbox, VmName, admit, broadcast::Broadcast, engines::Engines, load_report,
+    permit_allocator::PermitAllocator,
 };
 use crate::{
     error::RequestError,
@@ -45,7 +45,7 @@
     /// Whether the endpoints have changed since they were assigned.
     must_assign: bool,
     slow: SlowOnes,
-    limits: Limits,
+    permits: PermitAllocator,
     /// Endpoints that reject requests, of which daemons are to be told.
     overloaded: Broadcast,
 }
@@ -72,7 +72,7 @@
             watches: ByVm::new(),
             must_assign: true,
             slow: SlowOnes::default(),
-            limits: Limits::default(),
+            permits: PermitAllocator::default(),
             overloaded: Broadcast::default(),
         }
     }
@@ -101,7 +101,7 @@
 
     pub(crate) fn next_tick(&self) -> Option<Instant> {
         let next = self.scheduler.next_decision().map(|at| at.max(self.open_at));
-        let news = self.limits.next_tick().into_iter().chain(self.overloaded.next_tick());
+        let news = self.permits.next_tick().into_iter().chain(self.overloaded.next_tick());
         next.into_iter().chain(news).min()
     }
 
@@ -166,7 +166,7 @@
         let Some(entry) = self.numbers.remove(vm) else { return };
         self.names.remove(&entry);
         self.watches.remove(vm);
-        self.limits.forget(vm);
+        self.permits.forget(vm);
         self.scheduler.forget_entry(entry, now);
         self.decide(now, out);
     }
@@ -224,7 +224,7 @@
     pub(crate) fn tick(&mut self, daemons: &BTreeSet<VmName>, now: Instant, out: &mut Outbox) {
         self.decide(now, out);
         self.assign_watches(daemons, out);
-        self.limits.tick(daemons, &mut self.scheduler.throttle, now, out);
+        self.permits.tick(daemons, &mut self.scheduler.throttle, now, out);
         self.tell_overloaded(daemons, now, out);
         self.scheduler.backoffs.expire(now);
     }
@@ -259,7 +259,7 @@
 
     /// Takes what a daemon has read of the limits that endpoints name.
     pub(crate) fn on_rate_limits(&mut self, news: LimitNews, now: Instant) {
-        self.limits.read(news, &mut self.scheduler.throttle, now);
+        self.permits.read(news, &mut self.scheduler.throttle, now);
     }
 
     /// Takes a daemon's request for a permit at endpoints that name limits.
@@ -270,12 +270,12 @@
         now: Instant,
         out: &mut Outbox,
     ) {
-        self.limits.ask(from, ask, &mut self.scheduler.throttle, now, out);
+        self.permits.ask(from, ask, &mut self.scheduler.throttle, now, out);
     }
 
     /// Some of the limits that endpoints name, the next ones at each call.
     pub(crate) fn next_rate_limits(&mut self, now: Instant) -> Vec<LimitWord> {
-        self.limits.some(&self.scheduler.throttle, now)
+        self.permits.some(&self.scheduler.throttle, now)
     }
 
     /// Forgets what runs of endpoints have said that are not there any more.
--- a/crates/core/src/node/endpoints.rs
+++ b/crates/core/src/node/endpoints.rs
@@ -227,7 +227,7 @@
         let Some(active_config) = self.keeper.active_config() else { return };
         let halls_out = self.keeper.halls_out();
         let engines = Engines::new(&self.registry, &active_config.config, halls_out);
-        self.placing.configure(&engines, now);
+        self.placement.configure(&engines, now);
         if let Some(control) = &mut self.control {
             control.set_engines(engines, now, &mut self.outputs);
         }
@@ -236,7 +236,7 @@
             registry.knows_run(endpoint, started_at)
                 || active_config.config.endpoints.contains_key(endpoint)
         };
-        self.placing.retain_runs(is_there, now);
+        self.placement.retain_runs(is_there, now);
         if let Some(control) = &mut self.control {
             control.retain_runs(is_there, now);
         }
--- a/crates/core/src/node/inputs.rs
+++ b/crates/core/src/node/inputs.rs
@@ -30,13 +30,13 @@
                 }
             }
             Input::Call(call, question) => self.ask(call, question, clocks),
-            Input::Progress(call, tokens) => self.placing.progress(call, tokens, clocks.now, out),
+            Input::Progress(call, tokens) => self.placement.progress(call, tokens, clocks.now, out),
             Input::Finished { call, tokens, whole } => {
-                self.placing.finished(call, tokens, whole, clocks.now, out);
+                self.placement.finished(call, tokens, whole, clocks.now, out);
             }
-            Input::Cancelled(call) => self.placing.cancel(call, clocks.now, out),
+            Input::Cancelled(call) => self.placement.cancel(call, clocks.now, out),
             Input::Health(endpoint, news) => {
-                self.placing.health(&endpoint, news, clocks.now, true, out);
+                self.placement.health(&endpoint, news, clocks.now, true, out);
             }
             Input::FailedAttempt(broke_off) => {
                 let (suspects, mut cx, out) = self.suspects_context(clocks);
@@ -60,7 +60,7 @@
             }
             Input::Rejected(rejection) => {
                 let scheduler = self.keeper.scheduler(clocks.now);
-                self.placing.rejected(&rejection, scheduler, clocks.now, out);
+                self.placement.rejected(&rejection, scheduler, clocks.now, out);
             }
             Input::Leaving { endpoint, started_at } => {
                 self.endpoint_leaves(&endpoint, started_at, clocks.now);
@@ -76,10 +76,10 @@
             }
             Input::Farewell(id) => self.farewell(&id, clocks.now),
             Input::Moved { call, at, done } => {
-                self.placing.moved(call, &at, done, clocks.now, out);
+                self.placement.moved(call, &at, done, clocks.now, out);
             }
             Input::Seeds(seeds) => self.directory.set_seeds(seeds, clocks.now, out),
-            Input::Load(report) => self.placing.load(report, clocks.now, out),
+            Input::Load(report) => self.placement.load(report, clocks.now, out),
             Input::Stop => {
                 self.keeper.stop(clocks.now, out);
                 if let Some(control) = &mut self.control {
@@ -95,7 +95,7 @@
         match question {
             NodeCall::Place(req) => {
                 let scheduler = self.keeper.scheduler(clocks.now);
-                self.placing.place(call, req, scheduler, clocks.now, out);
+                self.placement.place(call, req, scheduler, clocks.now, out);
             }
             NodeCall::Submit(submit) => {
                 let kind = OperationKind::Submit(submit);
@@ -140,7 +140,7 @@
             }
             NodeCall::Endpoints => {
                 let dispatcher = self.control.as_ref().and_then(Control::dispatcher);
-                let scheduler = dispatcher.unwrap_or(self.placing.local());
+                let scheduler = dispatcher.unwrap_or(self.placement.local());
                 out.reply(call, NodeReply::Endpoints(endpoint_statuses(scheduler, clocks.now)));
             }
             NodeCall::ControlStatus => {
@@ -155,8 +155,8 @@
         let out = &mut self.outputs;
         match body {
             Body::PollReply(reply) => {
-                self.placing.told_slow(&reply.slow, clocks.now);
-                self.placing.set_daemons(reply.daemons, clocks.now);
+                self.placement.told_slow(&reply.slow, clocks.now);
+                self.placement.set_daemons(reply.daemons, clocks.now);
                 self.limits_told(reply.limits.clone(), clocks);
                 let out = &mut self.outputs;
                 let news = reply.suspects.clone();
@@ -180,7 +180,7 @@
                 suspects.answered(reply, &cx, out);
             }
             Body::Limits(news) => self.limits_told(news.words, clocks),
-            Body::Overloaded(news) => self.placing.told_overloaded(&news, clocks.now),
+            Body::Overloaded(news) => self.placement.told_overloaded(&news, clocks.now),
             Body::PermitReply(reply) => {
                 let (permits, mut cx, out) = self.permits_context(clocks.now);
                 permits.answered(reply, &mut cx, out);
@@ -196,8 +196,8 @@
                     suspects.recorded(operation, recorded, &cx, out);
                 }
             }
-            Body::Grant(grant) => self.placing.granted(from, grant, clocks.now, out),
-            Body::GiveUp(give_up) => self.placing.given_up(give_up, out),
+            Body::Grant(grant) => self.placement.granted(from, grant, clocks.now, out),
+            Body::GiveUp(give_up) => self.placement.given_up(give_up, out),
             Body::Directory(message) => self.directory.told(from, message, clocks.now, out),
             Body::EndpointNews(news) => self.endpoint_news(from, news, clocks.now),
             Body::EndpointDigest(EndpointDigest { sums }) => {
@@ -207,11 +207,11 @@
                 }
             }
             Body::EndpointsWanted(wanted) => self.send_endpoints(from, wanted, clocks.now),
-            Body::Move(order) => self.placing.order(&order, out),
+            Body::Move(order) => self.placement.order(&order, out),
             Body::Watch(watch) => out.push(Output::Watch(watch.endpoints)),
             Body::Health(health) if !leads || *from == self.vm => {
                 let (endpoint, news) = (health.endpoint.as_str().into(), health.news());
-                self.placing.health(&endpoint, news, clocks.now, false, out);
+                self.placement.health(&endpoint, news, clocks.now, false, out);
                 if let (true, Some(control)) = (leads, &mut self.control) {
                     control.message(from, Body::Health(health), clocks, out);
                 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -6,11 +6,11 @@
 //! - [`keeper`] knows whether the configuration in force is current; [`holder`] holds it,
 //!   [`fetching`] brings a newer one from a control VM, which has it in [`changes`];
 //! - [`operations`] carries changes of the replicated state to the leader;
-//! - [`placing`] finds places for this daemon's requests;
+//! - [`placement_client`] finds places for this daemon's requests;
 //! - [`control`] runs a control replica and, on the leader, answers the daemons;
 //! - [`dispatcher`] is the scheduler that the leader runs for all daemons;
-//! - [`permits`] asks for permits at endpoints that name limits, [`limits`] gives them on the leader;
-//! - [`suspects`] knows under which requests endpoints have ended;
+//! - [`permit_client`] asks for permits at endpoints that name limits, [`permit_allocator`] gives them on the leader;
+//! - [`suspect_tracker`] knows under which requests endpoints have ended;
 //! - [`directory`] knows the control VMs and [`endpoints`] the endpoints that register.
 
 mod admit;
@@ -35,7 +35,6 @@
 mod holder_tests;
 mod inputs;
 mod keeper;
-mod limits;
 mod members;
 #[cfg(test)]
 mod members_tests;
@@ -44,13 +43,14 @@
 #[cfg(test)]
 mod operations_tests;
 mod options;
-mod permits;
-mod placing;
+mod permit_allocator;
+mod permit_client;
+mod placement_client;
 mod reads;
 mod spread;
-mod suspects;
+mod suspect_tracker;
 #[cfg(test)]
-mod suspects_tests;
+mod suspect_tracker_tests;
 #[cfg(test)]
 mod tests;
 
@@ -67,10 +67,10 @@
     engines::Engines,
     keeper::Keeper,
     operations::Operations,
-    permits::Permits,
-    placing::Placing,
+    permit_client::PermitClient,
+    placement_client::PlacementClient,
     spread::Gathered,
-    suspects::{Context, Suspects},
+    suspect_tracker::{Context, SuspectTracker},
 };
 use crate::{
     agreement::{self, Restored},
@@ -94,7 +94,7 @@
     keeper::Entries,
     messages::{CallId, Input, NodeCall, NodeReply, Output, Placement, SentChange, SubmitError},
     options::{Clocks, NodeOptions, NodeTiming},
-    suspects::TrialAnswer,
+    suspect_tracker::TrialAnswer,
 };
 
 /// Name of a VM.
@@ -110,9 +110,9 @@
     outputs: Outbox,
     keeper: Keeper,
     operations: Operations,
-    placing: Placing,
-    suspects: Suspects,
-    permits: Permits,
+    placement: PlacementClient,
+    suspects: SuspectTracker,
+    permits: PermitClient,
     control: Option<Control>,
     directory: Directory,
     registry: Registry,
@@ -148,9 +148,9 @@
             outputs: Outbox::default(),
             keeper: Keeper::new(options, now),
             operations: Operations::numbered_from(options.seed),
-            placing: Placing::new(options.disabled, options.seed),
-            suspects: Suspects::default(),
-            permits: Permits::default(),
+            placement: PlacementClient::new(options.disabled, options.seed),
+            suspects: SuspectTracker::default(),
+            permits: PermitClient::default(),
             control: None,
             directory: Directory::new(&options.vm, &options.seeds, false, now),
             registry: Registry::new(options.endpoint_heartbeat),
@@ -206,23 +206,23 @@
 
     /// The limit that an endpoint names, if it does.
     pub fn rate_limit(&self, endpoint: &str) -> Option<RateLimit> {
-        self.placing.local().throttle.limit(endpoint)
+        self.placement.local().throttle.limit(endpoint)
     }
 
     /// Whether an endpoint may be sent a request of this daemon, as far as it has rejected some.
     pub fn admission(&self, endpoint: &str, now: Instant) -> Admission {
-        self.placing.local().own_admission(endpoint, now)
+        self.placement.local().own_admission(endpoint, now)
     }
 
     /// The table of endpoints that have rejected requests, for those that this daemon sends by itself.
     pub fn backoffs_mut(&mut self) -> &mut BackoffTable {
-        self.placing.backoffs_mut()
+        self.placement.backoffs_mut()
     }
 
     /// The chance that an answer would end within this time, by the lengths and paces that this
     /// daemon has seen itself.
     pub fn completion_probability(&self, req: &Request, within: Duration, now: Instant) -> f64 {
-        self.placing.local().chance_to_end(req, within, now)
+        self.placement.local().chance_to_end(req, within, now)
     }
 
     /// Takes an input and returns what must be done.
@@ -234,7 +234,7 @@
 
     /// When [`Input::Tick`] is next needed.
     pub fn next_tick(&self) -> Instant {
-        let mut next = self.keeper.next_tick().min(self.placing.next_tick());
+        let mut next = self.keeper.next_tick().min(self.placement.next_tick());
         next = next.min(self.directory.next_tick());
         next = next.min(self.suspects.next_tick().unwrap_or(next));
         next = next.min(self.permits.next_tick().unwrap_or(next));
@@ -253,7 +253,7 @@
         self.keeper.tick(clocks.now, out);
         let leader = self.keeper.leader();
         self.operations.tick(leader, clocks.now, out);
-        self.placing.tick(self.keeper.scheduler(clocks.now), clocks.now, out);
+        self.placement.tick(self.keeper.scheduler(clocks.now), clocks.now, out);
         self.directory.tick(clocks.now, out);
         self.endpoint_sync.tick(&self.vm, || self.registry.digest(), clocks.now, out);
         if self.next_search <= clocks.now {
@@ -273,15 +273,18 @@
     fn permits_context(
         &mut self,
         now: Instant,
-    ) -> (&mut Permits, permits::Context<'_>, &mut Outbox) {
+    ) -> (&mut PermitClient, permit_client::Context<'_>, &mut Outbox) {
         let scheduler = self.keeper.scheduler(now);
-        let throttle = self.placing.throttle_mut();
-        let cx = permits::Context { scheduler, throttle, now };
+        let throttle = self.placement.throttle_mut();
+        let cx = permit_client::Context { scheduler, throttle, now };
         (&mut self.permits, cx, &mut self.outputs)
     }
 
     /// What is known of suspects, and what else that part of the daemon needs.
-    fn suspects_context(&mut self, clocks: Clocks) -> (&mut Suspects, Context<'_>, &mut Outbox) {
+    fn suspects_context(
+        &mut self,
+        clocks: Clocks,
+    ) -> (&mut SuspectTracker, Context<'_>, &mut Outbox) {
         let cx = Context {
             leader: self.keeper.leader(),
             operations: &mut self.operations,
@@ -355,7 +358,7 @@
                 let scheduler = self.keeper.scheduler(now);
                 let term = scheduler.map_or(0, |scheduler| scheduler.term);
                 self.outputs.push(Output::Leader { vm: leader, term });
-                self.placing.scheduler_changed(scheduler, now, &mut self.outputs);
+                self.placement.scheduler_changed(scheduler, now, &mut self.outputs);
                 let (permits, mut cx, out) = self.permits_context(now);
                 permits.scheduler_changed(&mut cx, out);
             }
--- a/crates/core/src/node/limits.rs
+++ b/crates/core/src/node/permit_allocator.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use super::{Outbox, VmName, broadcast::Broadcast, permits::decode};
+use super::{Outbox, VmName, broadcast::Broadcast, permit_client::decode};
 use crate::{
     throttle::{Change, Permit, PermitQueue, Throttle, Word},
     units::Instant,
@@ -14,14 +14,14 @@
 
 /// The leader's soft state about limits.
 #[derive(Debug, Default)]
-pub(super) struct Limits {
+pub(super) struct PermitAllocator {
     queue: PermitQueue<(VmName, u64)>,
     news: Broadcast,
     /// Number of the limits that were repeated.
     repeated: usize,
 }
 
-impl Limits {
+impl PermitAllocator {
     /// Takes what an endpoint has said.
     pub(super) fn learn(&mut self, word: Word, throttle: &mut Throttle, now: Instant) {
         let endpoint = word.endpoint.clone();
--- a/crates/core/src/node/permits.rs
+++ b/crates/core/src/node/permit_client.rs
@@ -27,7 +27,7 @@
 
 /// What this daemon waits for.
 #[derive(Debug, Default)]
-pub(crate) struct Permits {
+pub(crate) struct PermitClient {
     asking: BTreeMap<CallId, Asking>,
     own: PermitQueue<CallId>,
 }
@@ -40,7 +40,7 @@
     pub(super) now: Instant,
 }
 
-impl Permits {
+impl PermitClient {
     /// Takes an endpoint's word that has come to this daemon; tells the leader if it is news.
     pub(super) fn read(&mut self, word: Word, cx: &mut Context<'_>, out: &mut Outbox) {
         let endpoint = word.endpoint.clone();
--- a/crates/core/src/node/placing/backoff.rs
+++ b/crates/core/src/node/placement_client/backoff.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::Placing;
+use super::PlacementClient;
 use crate::{
     backoff::{OWN_DAEMON, Rejection},
     node::{Outbox, Output, VmName, keeper::SchedulerAt},
@@ -13,7 +13,7 @@
 /// Back-offs that a new leader is told of by one daemon.
 const MAX_TOLD: usize = 64;
 
-impl Placing {
+impl PlacementClient {
     /// Takes what an endpoint has rejected, and tells the leader, which places requests of this daemon.
     pub(crate) fn rejected(
         &mut self,
--- a/crates/core/src/node/placing/local.rs
+++ b/crates/core/src/node/placement_client/local.rs
@@ -1,6 +1,6 @@
 //! Requests that this daemon places by itself.
 
-use super::{Placing, Running, Waiting};
+use super::{PlacementClient, Running, Waiting};
 use crate::{
     node::{CallId, NodeReply, Outbox, Output, Placement},
     placement::{Action, Relocation, Request},
@@ -8,7 +8,7 @@
     wire::Body,
 };
 
-impl Placing {
+impl PlacementClient {
     /// Takes a request that no scheduler answers for.
     pub(super) fn place_locally(
         &mut self,
--- a/crates/core/src/node/placing/mod.rs
+++ b/crates/core/src/node/placement_client/mod.rs
@@ -68,7 +68,7 @@
 }
 
 /// Requests of this daemon that wait for a place or have one.
-pub(crate) struct Placing {
+pub(crate) struct PlacementClient {
     local: Scheduler,
     endpoints: Endpoints,
     scheduler: Option<VmName>,
@@ -83,10 +83,10 @@
     next_backoff_end: Option<Instant>,
 }
 
-impl Placing {
+impl PlacementClient {
     /// Without requests or endpoints; the seed must be another on each daemon.
-    pub(crate) fn new(disabled: Disabled, seed: u64) -> Placing {
-        Placing {
+    pub(crate) fn new(disabled: Disabled, seed: u64) -> PlacementClient {
+        PlacementClient {
             local: Scheduler::local(disabled, seed),
             endpoints: Endpoints::new(),
             scheduler: None,
--- a/crates/core/src/node/suspects.rs
+++ b/crates/core/src/node/suspect_tracker.rs
@@ -86,7 +86,7 @@
 
 /// What a daemon knows of suspects.
 #[derive(Debug, Default)]
-pub(crate) struct Suspects {
+pub(crate) struct SuspectTracker {
     known: Known,
     /// By the number of the operation.
     own: BTreeMap<u64, OwnEnd>,
@@ -107,7 +107,7 @@
     pub(super) wall: UnixMillis,
 }
 
-impl Suspects {
+impl SuspectTracker {
     /// The daemon's copy of what is on record.
     pub(crate) fn known(&self) -> &Known {
         &self.known
--- a/crates/core/src/node/suspects_tests.rs
+++ b/crates/core/src/node/suspect_tracker_tests.rs
@@ -5,7 +5,7 @@
 use super::{
     FailedAttempt, Outbox, Output, ProbeOutcome,
     operations::Operations,
-    suspects::{Context, Suspects},
+    suspect_tracker::{Context, SuspectTracker},
 };
 use crate::{
     quarantine::RequestDigest,
@@ -22,7 +22,7 @@
 
 /// A daemon that has seen an endpoint end under a request, and what it has told so far.
 struct Daemon {
-    suspects: Suspects,
+    suspects: SuspectTracker,
     operations: Operations,
     registry: Registry,
     out: Outbox,
@@ -31,7 +31,7 @@
 impl Daemon {
     fn that_saw_an_end() -> Daemon {
         let mut daemon = Daemon {
-            suspects: Suspects::default(),
+            suspects: SuspectTracker::default(),
             operations: Operations::numbered_from(OPERATION - 1),
             registry: Registry::new(HEARTBEAT),
             out: Outbox::default(),
@@ -47,7 +47,7 @@
         daemon
     }
 
-    fn with(&mut self, act: impl FnOnce(&mut Suspects, &mut Context<'_>, &mut Outbox)) {
+    fn with(&mut self, act: impl FnOnce(&mut SuspectTracker, &mut Context<'_>, &mut Outbox)) {
         let mut cx = Context {
             leader: None,
             operations: &mut self.operations,
--- a/crates/core/src/node/tests/leaving.rs
+++ b/crates/core/src/node/tests/leaving.rs
@@ -131,7 +131,7 @@
         let nodes = || self.net.hosts.values().filter_map(|host| host.node.as_ref());
         let control = nodes().filter_map(|node| node.control.as_ref());
         let leaders = control.filter_map(Control::dispatcher);
-        leaders.chain(nodes().map(|node| node.placing.local())).collect()
+        leaders.chain(nodes().map(|node| node.placement.local())).collect()
     }
 }
 
