--- a/crates/core/src/node/holder.rs
+++ b/crates/core/src/node/config_store.rs
@@ -50,7 +50,7 @@
 }
 
 /// The control VMs that a daemon may ask.
-pub(super) struct Sources {
+pub(super) struct ConfigSources {
     /// The daemon's own VM.
     pub(super) vm: VmName,
     /// All control VMs.
@@ -59,9 +59,9 @@
     pub(super) links: BTreeSet<VmName>,
 }
 
-impl Sources {
-    pub(super) fn new(vm: &VmName, replicas: &[VmName]) -> Sources {
-        Sources { vm: vm.clone(), replicas: replicas.to_vec(), links: BTreeSet::new() }
+impl ConfigSources {
+    pub(super) fn new(vm: &VmName, replicas: &[VmName]) -> ConfigSources {
+        ConfigSources { vm: vm.clone(), replicas: replicas.to_vec(), links: BTreeSet::new() }
     }
 
     /// The control VM to fetch from, after so many others. Each daemon prefers them in an order of
@@ -80,7 +80,7 @@
 }
 
 /// The configuration in force and what is missing.
-pub(super) struct Holder {
+pub(super) struct ConfigStore {
     active_config: Option<Arc<ActiveConfig>>,
     /// Whether this VM has a control replica, which brings it what is accepted.
     is_control: bool,
@@ -98,9 +98,9 @@
     fetch_again: Instant,
 }
 
-impl Holder {
-    pub(super) fn new(now: Instant) -> Holder {
-        Holder {
+impl ConfigStore {
+    pub(super) fn new(now: Instant) -> ConfigStore {
+        ConfigStore {
             active_config: None,
             is_control: false,
             newest: 0,
@@ -122,7 +122,7 @@
     }
 
     /// From now on what is accepted comes from this VM's own control replica.
-    pub(super) fn rely_on_own_replica(&mut self) {
+    pub(super) fn use_local_replica(&mut self) {
         self.is_control = true;
     }
 
@@ -137,7 +137,7 @@
     pub(super) fn update(
         &mut self,
         update: Update,
-        sources: &Sources,
+        sources: &ConfigSources,
         now: Instant,
         out: &mut Outbox,
     ) -> bool {
@@ -166,7 +166,7 @@
     pub(super) fn piece(
         &mut self,
         piece: Piece,
-        sources: &Sources,
+        sources: &ConfigSources,
         now: Instant,
         out: &mut Outbox,
     ) -> bool {
@@ -193,7 +193,7 @@
 
     /// Takes what this VM's own control replica knows to be accepted. Returns whether it came
     /// into force.
-    pub(super) fn take_accepted(&mut self, state: &State, out: &mut Outbox) -> bool {
+    pub(super) fn load_accepted(&mut self, state: &State, out: &mut Outbox) -> bool {
         if !self.is_allowed(state.version()) {
             return false;
         }
@@ -205,7 +205,12 @@
     }
 
     /// Fetches the change that follows the version in force, if there is a newer one.
-    pub(super) fn fetch_if_missing(&mut self, sources: &Sources, now: Instant, out: &mut Outbox) {
+    pub(super) fn fetch_if_missing(
+        &mut self,
+        sources: &ConfigSources,
+        now: Instant,
+        out: &mut Outbox,
+    ) {
         let known = self.version_hash().version.max(self.refused.unwrap_or_default());
         // No change leads on from a version that is refused; a whole document may.
         let base = if self.refused.is_some() { 0 } else { known };
@@ -225,7 +230,7 @@
     pub(super) fn source_lost(
         &mut self,
         vm: &VmName,
-        sources: &Sources,
+        sources: &ConfigSources,
         now: Instant,
         out: &mut Outbox,
     ) {
@@ -234,18 +239,18 @@
         }
     }
 
-    /// When [`Holder::tick`] next has something to do.
+    /// When [`ConfigStore::tick`] next has something to do.
     pub(super) fn next_tick(&self) -> Option<Instant> {
         self.fetching.as_ref().map(Fetching::patience_ends)
     }
 
-    pub(super) fn tick(&mut self, sources: &Sources, now: Instant, out: &mut Outbox) {
+    pub(super) fn tick(&mut self, sources: &ConfigSources, now: Instant, out: &mut Outbox) {
         if self.next_tick().is_some_and(|at| at <= now) {
             self.fetch_elsewhere(sources, now, out);
         }
     }
 
-    fn fetch_elsewhere(&mut self, sources: &Sources, now: Instant, out: &mut Outbox) {
+    fn fetch_elsewhere(&mut self, sources: &ConfigSources, now: Instant, out: &mut Outbox) {
         self.detours += 1;
         match (&mut self.fetching, sources.after(self.detours)) {
             (Some(fetching), Some(source)) => fetching.go_on(source, now, out),
--- a/crates/core/src/node/holder_tests.rs
+++ b/crates/core/src/node/config_store_tests.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Outbox, Output, VmName,
-    holder::{Holder, Sources},
+    config_store::{ConfigSources, ConfigStore},
 };
 use crate::{
     config::Document,
@@ -26,8 +26,8 @@
 
 /// A daemon linked to one control VM.
 struct Daemon {
-    holder: Holder,
-    sources: Sources,
+    config_store: ConfigStore,
+    sources: ConfigSources,
     out: Outbox,
 }
 
@@ -35,16 +35,16 @@
     /// A daemon at which version 1 is in force.
     fn at_version_1() -> Daemon {
         let mut daemon = Daemon::without_configuration();
-        daemon.holder.confirmed_current(0);
+        daemon.config_store.confirmed_current(0);
         assert!(daemon.update(ConfigChange::new(1, 0, &Document::default(), &document(1))));
         daemon
     }
 
     fn without_configuration() -> Daemon {
         let control: VmName = "control".into();
-        let mut sources = Sources::new(&"daemon".into(), std::slice::from_ref(&control));
+        let mut sources = ConfigSources::new(&"daemon".into(), std::slice::from_ref(&control));
         sources.links.insert(control);
-        Daemon { holder: Holder::new(NOW), sources, out: Outbox::default() }
+        Daemon { config_store: ConfigStore::new(NOW), sources, out: Outbox::default() }
     }
 
     /// Hears of a version that was accepted, with what it changes.
@@ -52,7 +52,7 @@
         let ConfigChange { version, base, hash, delta } = change;
         let change = ChangeId { version, base, hash };
         let update = Update { change, delta: Some(delta) };
-        self.holder.update(update, &self.sources, NOW, &mut self.out)
+        self.config_store.update(update, &self.sources, NOW, &mut self.out)
     }
 
     /// Gets a whole document in one piece.
@@ -61,16 +61,16 @@
         let hash = document.content_hash().0.to_vec().into();
         let change = ChangeId { version, base: 0, hash };
         let piece = Piece { change, number: 0, last: true, delta };
-        self.holder.piece(piece, &self.sources, NOW, &mut self.out)
+        self.config_store.piece(piece, &self.sources, NOW, &mut self.out)
     }
 
     /// Looks whether something is missing.
     fn fetch(&mut self) {
-        self.holder.fetch_if_missing(&self.sources, NOW, &mut self.out);
+        self.config_store.fetch_if_missing(&self.sources, NOW, &mut self.out);
     }
 
     fn version(&self) -> u64 {
-        self.holder.version_hash().version
+        self.config_store.version_hash().version
     }
 
     /// What it has asked for since the last call.
@@ -104,13 +104,13 @@
 #[gtest]
 fn a_first_configuration_is_no_older_than_what_was_confirmed_first() {
     let mut daemon = Daemon::without_configuration();
-    daemon.holder.confirmed_current(5);
+    daemon.config_store.confirmed_current(5);
     daemon.fetch();
 
     let older = daemon.piece(4, &document(4));
     let mut later = Daemon::without_configuration();
-    later.holder.confirmed_current(5);
-    later.holder.confirmed_current(6);
+    later.config_store.confirmed_current(5);
+    later.config_store.confirmed_current(6);
     later.fetch();
     let newer = later.piece(5, &document(5));
 
--- a/crates/core/src/node/control/answers.rs
+++ b/crates/core/src/node/control/answers.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 
-use super::{Asker, Control, Daemon, Proposed};
+use super::{Asker, ControlReplica, Daemon, Proposed};
 use crate::{
     agreement::ConfirmedRead,
     config::ContentHash,
@@ -17,7 +17,7 @@
     },
 };
 
-impl Control {
+impl ControlReplica {
     pub(super) fn poll(&mut self, from: &VmName, poll: Poll, clocks: Clocks, out: &mut Outbox) {
         if !self.leads() {
             return self.not_leader(from, None, out);
--- a/crates/core/src/node/control/mod.rs
+++ b/crates/core/src/node/control/mod.rs
@@ -13,9 +13,9 @@
 use super::{
     ByVm, Clocks, NodeOptions, Outbox, VmName,
     changes::Changes,
+    control_client::Entries,
     dispatcher::Dispatcher,
     engines::Engines,
-    keeper::Entries,
     members::{self, Peer},
 };
 use crate::{
@@ -78,7 +78,7 @@
 }
 
 /// A control replica.
-pub(crate) struct Control {
+pub(crate) struct ControlReplica {
     vm: VmName,
     /// The VMs that found the group, the one that writes its first entry first; none where
     /// this VM came later.
@@ -109,15 +109,15 @@
     next_housekeeping: Instant,
 }
 
-impl Control {
+impl ControlReplica {
     pub(crate) fn new(
         options: &NodeOptions,
         id: ReplicaId,
         restored: Restored,
         now: Instant,
-    ) -> Control {
+    ) -> ControlReplica {
         let timing = options.timing.agreement;
-        Control {
+        ControlReplica {
             vm: options.vm.clone(),
             founders: options.founders.clone(),
             max_voters: options.max_voters,
@@ -154,7 +154,7 @@
         &self.state
     }
 
-    pub(crate) fn dispatcher(&self) -> Option<&Scheduler> {
+    pub(crate) fn scheduler(&self) -> Option<&Scheduler> {
         self.dispatcher.as_ref().map(Dispatcher::scheduler)
     }
 
--- a/crates/core/src/node/control/ready.rs
+++ b/crates/core/src/node/control/ready.rs
@@ -1,7 +1,7 @@
 //! Carries out what the replica hands out: messages, writes, committed entries, reads.
 
 use super::{
-    Batch, Control, Proposed,
+    Batch, ControlReplica, Proposed,
     answers::{claim_reply, hall_reply, reply},
     suspects::{Suspects, suspects_reply},
 };
@@ -16,7 +16,7 @@
 /// The log is compacted when its entries take this many bytes more than the snapshot.
 const COMPACT_BYTES: usize = 4 * 1024 * 1024;
 
-impl Control {
+impl ControlReplica {
     pub(super) fn pump(&mut self, clocks: Clocks, out: &mut Outbox) {
         loop {
             let ready = self.replica.take_ready();
--- a/crates/core/src/node/control/status.rs
+++ b/crates/core/src/node/control/status.rs
@@ -1,6 +1,6 @@
 //! What a control replica tells operators.
 
-use super::{Control, Daemon};
+use super::{ControlReplica, Daemon};
 use crate::{agreement::ReplicaId, node::VmName, units::Instant};
 
 /// State of one control replica, as the leader sees it.
@@ -56,7 +56,7 @@
     pub daemons: Vec<DaemonStatus>,
 }
 
-impl Control {
+impl ControlReplica {
     /// The state as this replica sees it.
     pub(crate) fn status(&self, now: Instant) -> ControlStatus {
         let leader = self.replica.leader().and_then(|id| self.vm_of(id));
--- a/crates/core/src/node/control/suspects.rs
+++ b/crates/core/src/node/control/suspects.rs
@@ -1,6 +1,6 @@
 //! What the leader does about suspects: tells daemons of them, and lets one try of each run at a time.
 
-use super::Control;
+use super::ControlReplica;
 use crate::{
     agreement::Role,
     node::{Clocks, Outbox, Output, VmName, spread},
@@ -32,7 +32,7 @@
     }
 }
 
-impl Control {
+impl ControlReplica {
     /// What a daemon lacks of the suspects.
     pub(super) fn suspects_news_for(&self, vm: &VmName) -> Option<SuspectNews> {
         let copy = self.daemons.get(vm)?.suspects;
--- a/crates/core/src/node/keeper/mod.rs
+++ b/crates/core/src/node/control_client/mod.rs
@@ -15,7 +15,7 @@
 use self::polls::SentPoll;
 use super::{
     CallId, NodeOptions, NodeTiming, Outbox, Output, VersionHash, VmName,
-    holder::{ActiveConfig, Holder, Sources},
+    config_store::{ActiveConfig, ConfigSources, ConfigStore},
     reads::{Confirmed, Reads, Wanted},
 };
 use crate::{
@@ -36,7 +36,7 @@
 
 /// The scheduler that this daemon's requests go to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct SchedulerAt {
+pub(crate) struct RemoteScheduler {
     /// VM of the leader.
     pub(crate) vm: VmName,
     /// Term of the leader.
@@ -64,17 +64,17 @@
 }
 
 /// Keeps the configuration in force.
-pub(crate) struct Keeper {
-    sources: Sources,
+pub(crate) struct ControlClient {
+    sources: ConfigSources,
     reads: Reads,
     timing: NodeTiming,
-    holder: Holder,
+    config_store: ConfigStore,
     changed: bool,
     halls: HallsOut,
     /// Halls that were given back since somebody last asked, if any order has come since.
     halls_back: Option<Vec<String>>,
     vouched: Option<Vouched>,
-    leader: Option<SchedulerAt>,
+    leader: Option<RemoteScheduler>,
     leader_changed: bool,
     /// A hint of who leads, from a replica that does not.
     hint: Option<VmName>,
@@ -96,13 +96,13 @@
     suspects: CopyState,
 }
 
-impl Keeper {
-    pub(crate) fn new(options: &NodeOptions, now: Instant) -> Keeper {
-        Keeper {
-            sources: Sources::new(&options.vm, &options.seeds),
+impl ControlClient {
+    pub(crate) fn new(options: &NodeOptions, now: Instant) -> ControlClient {
+        ControlClient {
+            sources: ConfigSources::new(&options.vm, &options.seeds),
             reads: Reads::default(),
             timing: options.timing,
-            holder: Holder::new(now),
+            config_store: ConfigStore::new(now),
             changed: false,
             halls: HallsOut::default(),
             halls_back: None,
@@ -126,7 +126,7 @@
     }
 
     pub(crate) fn active_config(&self) -> Option<&Arc<ActiveConfig>> {
-        self.holder.active_config()
+        self.config_store.active_config()
     }
 
     pub(crate) fn is_fresh(&self) -> bool {
@@ -134,7 +134,7 @@
     }
 
     /// The configuration, if it changed since the last call.
-    pub(crate) fn take_changed(&mut self) -> Option<Arc<ActiveConfig>> {
+    pub(crate) fn take_config_change(&mut self) -> Option<Arc<ActiveConfig>> {
         std::mem::take(&mut self.changed).then(|| self.active_config().cloned()).flatten()
     }
 
@@ -144,13 +144,13 @@
     }
 
     /// The halls that were given back since the last call, if other halls are out since then.
-    pub(crate) fn take_halls_back(&mut self) -> Option<Vec<String>> {
+    pub(crate) fn take_restored_halls(&mut self) -> Option<Vec<String>> {
         self.halls_back.take()
     }
 
     /// Takes word of the data halls that are out of service. What an older order came to is nothing
     /// new.
-    pub(crate) fn take_halls(&mut self, halls: &HallsOut, out: &mut Outbox) {
+    pub(crate) fn update_halls_out(&mut self, halls: &HallsOut, out: &mut Outbox) {
         if self.halls.number < halls.number {
             let before = std::mem::replace(&mut self.halls, halls.clone());
             let back = before.names.into_iter().filter(|name| !halls.contains(name));
@@ -171,7 +171,7 @@
     }
 
     /// The scheduler, unless it has been silent for too long.
-    pub(crate) fn scheduler(&self, now: Instant) -> Option<&SchedulerAt> {
+    pub(crate) fn scheduler(&self, now: Instant) -> Option<&RemoteScheduler> {
         self.leader.as_ref().filter(|_| now < self.scheduler_is_silent_at())
     }
 
@@ -182,13 +182,13 @@
 
     pub(crate) fn next_tick(&self) -> Instant {
         let silent = self.scheduler(self.ticked).map(|_| self.scheduler_is_silent_at());
-        let next = self.holder.next_tick().into_iter().chain(silent).min();
+        let next = self.config_store.next_tick().into_iter().chain(silent).min();
         next.map_or(self.next_poll, |at| at.min(self.next_poll))
     }
 
     /// From now on what is accepted comes from this VM's own control replica.
-    pub(crate) fn rely_on_own_replica(&mut self) {
-        self.holder.rely_on_own_replica();
+    pub(crate) fn use_local_replica(&mut self) {
+        self.config_store.use_local_replica();
     }
 
     /// Takes the control VMs that are known now.
@@ -215,7 +215,7 @@
     }
 
     fn answer_reads(&mut self, now: Instant, out: &mut Outbox) {
-        let config = Confirmed { what: self.holder.active_config(), as_of: self.confirmed };
+        let config = Confirmed { what: self.config_store.active_config(), as_of: self.confirmed };
         let halls_as_of = self.vouched.map(|vouched| vouched.asked);
         let halls = Confirmed { what: &self.halls, as_of: halls_as_of };
         self.reads.answer(config, halls, now, out);
@@ -226,12 +226,12 @@
         if self.leader.is_none() && self.sources.replicas.contains(vm) {
             self.poll(vm.clone(), now, out);
         }
-        self.holder.fetch_if_missing(&self.sources, now, out);
+        self.config_store.fetch_if_missing(&self.sources, now, out);
     }
 
     pub(crate) fn link_down(&mut self, vm: &VmName, now: Instant, out: &mut Outbox) {
         self.sources.links.remove(vm);
-        self.holder.source_lost(vm, &self.sources, now, out);
+        self.config_store.source_lost(vm, &self.sources, now, out);
         if self.leader().is_some_and(|leader| leader == vm) {
             self.set_leader(None);
         }
@@ -241,7 +241,7 @@
         self.ticked = now;
         self.judge_freshness(now, out);
         self.answer_reads(now, out);
-        self.holder.tick(&self.sources, now, out);
+        self.config_store.tick(&self.sources, now, out);
         if now < self.next_poll {
             return;
         }
@@ -279,7 +279,7 @@
         let sent = self.polls[at].at;
         self.polls.drain(..=at);
         self.last_reply = now;
-        let leader = SchedulerAt {
+        let leader = RemoteScheduler {
             vm: from.clone(),
             term: reply.term,
             daemons: reply.daemons.max(1),
@@ -289,30 +289,30 @@
         let hash = ContentHash::from_slice(&reply.hash).unwrap_or_default();
         let current = VersionHash { version: reply.version, hash };
         self.vouched = Some(Vouched { current, asked: sent });
-        self.take_halls(&reply.halls.unwrap_or_default(), out);
-        self.holder.confirmed_current(current.version);
-        self.holder.fetch_if_missing(&self.sources, now, out);
+        self.update_halls_out(&reply.halls.unwrap_or_default(), out);
+        self.config_store.confirmed_current(current.version);
+        self.config_store.fetch_if_missing(&self.sources, now, out);
         self.confirm(now, out);
     }
 
     /// Takes the word of a leader that a version was accepted.
     pub(crate) fn update(&mut self, from: &VmName, update: Update, now: Instant, out: &mut Outbox) {
-        if self.holder.update(update, &self.sources, now, out) {
+        if self.config_store.update(update, &self.sources, now, out) {
             self.came_into_force(Some(from), now, out);
         }
     }
 
     /// Takes a piece of the change that is being fetched.
     pub(crate) fn piece(&mut self, piece: Piece, now: Instant, out: &mut Outbox) {
-        if self.holder.piece(piece, &self.sources, now, out) {
+        if self.config_store.piece(piece, &self.sources, now, out) {
             self.came_into_force(None, now, out);
         }
     }
 
     /// Takes what this VM's own control replica knows to be accepted.
-    pub(crate) fn take_accepted(&mut self, state: &State, now: Instant, out: &mut Outbox) {
-        self.take_halls(state.halls_out(), out);
-        if self.holder.take_accepted(state, out) {
+    pub(crate) fn load_accepted(&mut self, state: &State, now: Instant, out: &mut Outbox) {
+        self.update_halls_out(state.halls_out(), out);
+        if self.config_store.load_accepted(state, out) {
             self.came_into_force(None, now, out);
         }
     }
@@ -328,7 +328,7 @@
 
     /// What the leader has vouched for holds for the configuration in force once it is that one.
     fn confirm(&mut self, now: Instant, out: &mut Outbox) {
-        let in_force = self.holder.version_hash();
+        let in_force = self.config_store.version_hash();
         if let Some(Vouched { current, asked }) = self.vouched
             && in_force == current
             && 0 < current.version
@@ -351,8 +351,9 @@
         }
     }
 
-    fn set_leader(&mut self, leader: Option<SchedulerAt>) {
-        let name = |leader: &Option<SchedulerAt>| leader.as_ref().map(|l| (l.vm.clone(), l.term));
+    fn set_leader(&mut self, leader: Option<RemoteScheduler>) {
+        let name =
+            |leader: &Option<RemoteScheduler>| leader.as_ref().map(|l| (l.vm.clone(), l.term));
         self.leader_changed |= name(&self.leader) != name(&leader);
         self.leader = leader;
     }
--- a/crates/core/src/node/keeper/polls.rs
+++ b/crates/core/src/node/control_client/polls.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 
-use super::Keeper;
+use super::ControlClient;
 use crate::{
     node::{Outbox, VmName},
     quarantine::CopyState,
@@ -17,7 +17,7 @@
     pub(super) at: Instant,
 }
 
-impl Keeper {
+impl ControlClient {
     /// Whom to poll: the leader, or else whoever may know one.
     pub(super) fn poll_target(&mut self) -> Option<VmName> {
         if let Some(leader) = self.leader() {
@@ -35,7 +35,7 @@
     }
 
     /// Takes how much is known here of suspects; asks on at once if the leader has told that there is more.
-    pub(crate) fn know_suspects(
+    pub(crate) fn set_suspects_state(
         &mut self,
         state: CopyState,
         has_more: bool,
@@ -65,7 +65,7 @@
             self.polls.remove(0);
         }
         self.polls.push(SentPoll { nonce: self.nonce, at: now });
-        let current = self.holder.version_hash();
+        let current = self.config_store.version_hash();
         let hash = Bytes::copy_from_slice(&current.hash.0);
         let poll = Poll {
             nonce: self.nonce,
--- a/crates/core/src/node/endpoint_tests.rs
+++ b/crates/core/src/node/endpoint_tests.rs
@@ -311,6 +311,6 @@
         node.handle(Input::Heartbeat(record), clocks(20_000));
     }
 
-    expect_that!(node.keeper.active_config(), some(anything()));
+    expect_that!(node.client.active_config(), some(anything()));
     expect_that!(node.registry.records().cloned().collect::<Vec<_>>(), elements_are![eq(&known)]);
 }
--- a/crates/core/src/node/endpoints.rs
+++ b/crates/core/src/node/endpoints.rs
@@ -56,7 +56,7 @@
     /// name or the address of an endpoint that is known. Others of such services do no harm, and
     /// their services may be named by the next configuration.
     fn is_foreign(&self, record: &EndpointRecord) -> bool {
-        let active_config = self.keeper.active_config();
+        let active_config = self.client.active_config();
         let is_unknown =
             active_config.is_some_and(|f| !f.config.services.contains_key(&record.service));
         is_unknown && self.registry.is_known_by_name_or_address(record)
@@ -92,7 +92,7 @@
     /// control VM tells all, and an entry, which may be linked to control VMs that are parted
     /// from each other, tells the leader what the leader does not tell it.
     pub(super) fn endpoint_news(&mut self, from: &VmName, news: EndpointNews, now: Instant) {
-        let from_leader = self.keeper.leader() == Some(from);
+        let from_leader = self.client.leader() == Some(from);
         let EndpointNews { records, ages_ms, part } = news;
         let ages = ages_ms.into_iter().chain(std::iter::repeat(0));
         for (record, age_ms) in records.into_iter().zip(ages) {
@@ -105,7 +105,7 @@
                 let pause = RELAY + for_each(RELAY_FOR_A_DAEMON, self.links.len());
                 self.relayed.add(new, now.after(pause));
             } else if !from_leader && part.is_none() {
-                let daemons = self.keeper.scheduler(now).map_or(0, |s| s.daemons as usize);
+                let daemons = self.client.scheduler(now).map_or(0, |s| s.daemons as usize);
                 let pause = TELL_LEADER + for_each(TELL_LEADER_FOR_A_DAEMON, daemons);
                 self.for_leader.add(new, now.after(pause));
             }
@@ -128,7 +128,7 @@
     /// Tells the leader what this entry has from control VMs that it is linked to anew, where the
     /// leader knew something else.
     pub(super) fn tell_leader_what_it_lacks(&mut self, now: Instant) {
-        let Some(leader) = self.keeper.leader().filter(|_| self.control.is_none()) else { return };
+        let Some(leader) = self.client.leader().filter(|_| self.control.is_none()) else { return };
         let unknown = self.endpoint_sync.take_unknown_to(leader, || self.registry.digest());
         for part in unknown {
             for (record, _) in self.registry.part(part) {
@@ -156,7 +156,7 @@
                 self.outputs.send(vm, Body::EndpointNews(heartbeats.clone()));
             }
         }
-        let Some(leader) = self.keeper.leader() else {
+        let Some(leader) = self.client.leader() else {
             return self.for_leader.postpone(now.after(TELL_LEADER));
         };
         if let Some(news) = self.for_leader.take_due(now) {
@@ -185,7 +185,7 @@
             return false;
         }
         self.handed_out = self.registry.revision();
-        let endpoints = self.registry.endpoints(self.keeper.halls_out());
+        let endpoints = self.registry.endpoints(self.client.halls_out());
         self.next_hand_out = now.after(for_each(PAUSE_FOR_AN_ENDPOINT, endpoints.len()));
         self.outputs.push(Output::Registered(endpoints));
         true
@@ -193,7 +193,7 @@
 
     /// Notes that data halls were given back to service.
     pub(super) fn note_halls_back(&mut self, halls: &[String], now: Instant) {
-        let Some(active_config) = self.keeper.active_config() else { return };
+        let Some(active_config) = self.client.active_config() else { return };
         for hall in halls {
             self.registry.hall_back(hall, &active_config.config, now);
         }
@@ -224,8 +224,8 @@
 
     /// Brings the endpoints that registered themselves to the schedulers.
     pub(super) fn hand_out_endpoints(&mut self, now: Instant) {
-        let Some(active_config) = self.keeper.active_config() else { return };
-        let halls_out = self.keeper.halls_out();
+        let Some(active_config) = self.client.active_config() else { return };
+        let halls_out = self.client.halls_out();
         let engines = Engines::new(&self.registry, &active_config.config, halls_out);
         self.placement.configure(&engines, now);
         if let Some(control) = &mut self.control {
--- a/crates/core/src/node/inputs.rs
+++ b/crates/core/src/node/inputs.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 
 use super::{
-    CallId, Clocks, Control, Input, Node, NodeCall, NodeReply, Output, VmName,
+    CallId, Clocks, ControlReplica, Input, Node, NodeCall, NodeReply, Output, VmName,
     endpoints::endpoint_statuses,
     operations::{SETTLE_LIMIT, SUBMIT_LIMIT},
     reads::Wanted,
@@ -59,7 +59,7 @@
                 permits.read(word, &mut cx, out);
             }
             Input::Rejected(rejection) => {
-                let scheduler = self.keeper.scheduler(clocks.now);
+                let scheduler = self.client.scheduler(clocks.now);
                 self.placement.rejected(&rejection, scheduler, clocks.now, out);
             }
             Input::Leaving { endpoint, started_at } => {
@@ -81,7 +81,7 @@
             Input::Seeds(seeds) => self.directory.set_seeds(seeds, clocks.now, out),
             Input::Load(report) => self.placement.load(report, clocks.now, out),
             Input::Stop => {
-                self.keeper.stop(clocks.now, out);
+                self.client.stop(clocks.now, out);
                 if let Some(control) = &mut self.control {
                     control.stop(clocks, out);
                 }
@@ -91,10 +91,10 @@
 
     fn ask(&mut self, call: CallId, question: NodeCall, clocks: Clocks) {
         let out = &mut self.outputs;
-        let leader = self.keeper.leader();
+        let leader = self.client.leader();
         match question {
             NodeCall::Place(req) => {
-                let scheduler = self.keeper.scheduler(clocks.now);
+                let scheduler = self.client.scheduler(clocks.now);
                 self.placement.place(call, req, scheduler, clocks.now, out);
             }
             NodeCall::Submit(submit) => {
@@ -115,11 +115,11 @@
             }
             NodeCall::ReadConfig { limit } => {
                 let deadline = clocks.now.after(limit);
-                self.keeper.read(call, Wanted::Configuration, deadline, clocks.now, out);
+                self.client.read(call, Wanted::Configuration, deadline, clocks.now, out);
             }
             NodeCall::ReadHallsOut { limit } => {
                 let deadline = clocks.now.after(limit);
-                self.keeper.read(call, Wanted::HallsOut, deadline, clocks.now, out);
+                self.client.read(call, Wanted::HallsOut, deadline, clocks.now, out);
             }
             NodeCall::Trial { request, limit } => {
                 let (suspects, cx, out) = self.suspects_context(clocks);
@@ -139,7 +139,7 @@
                 out.reply(call, NodeReply::Suspects(all));
             }
             NodeCall::Endpoints => {
-                let dispatcher = self.control.as_ref().and_then(Control::dispatcher);
+                let dispatcher = self.control.as_ref().and_then(ControlReplica::scheduler);
                 let scheduler = dispatcher.unwrap_or(self.placement.local());
                 out.reply(call, NodeReply::Endpoints(endpoint_statuses(scheduler, clocks.now)));
             }
@@ -160,16 +160,16 @@
                 self.limits_told(reply.limits.clone(), clocks);
                 let out = &mut self.outputs;
                 let news = reply.suspects.clone();
-                self.keeper.poll_reply(from, reply, clocks.now, out);
+                self.client.poll_reply(from, reply, clocks.now, out);
                 if let Some(news) = news {
                     self.suspect_news(&news, clocks.now);
                 }
             }
-            Body::Update(update) => self.keeper.update(from, update, clocks.now, out),
-            Body::HallsOut(halls) => self.keeper.take_halls(&halls, out),
-            Body::Piece(piece) => self.keeper.piece(piece, clocks.now, out),
+            Body::Update(update) => self.client.update(from, update, clocks.now, out),
+            Body::HallsOut(halls) => self.client.update_halls_out(&halls, out),
+            Body::Piece(piece) => self.client.piece(piece, clocks.now, out),
             Body::NotLeader(reply) => {
-                self.keeper.not_leader(from, reply.leader.as_deref(), clocks.now);
+                self.client.not_leader(from, reply.leader.as_deref(), clocks.now);
                 if let Some(operation) = reply.operation {
                     self.operations.not_taken(operation);
                 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -3,7 +3,7 @@
 //! [`Node`] takes the time and an [`Input`] and leaves [`Output`]s. The same core
 //! runs in the daemon, in tests and in experiments.
 //!
-//! - [`keeper`] knows whether the configuration in force is current; [`holder`] holds it,
+//! - [`control_client`] knows whether the configuration in force is current; [`config_store`] holds it,
 //!   [`fetching`] brings a newer one from a control VM, which has it in [`changes`];
 //! - [`operations`] carries changes of the replicated state to the leader;
 //! - [`placement_client`] finds places for this daemon's requests;
@@ -18,7 +18,11 @@
 mod changes;
 #[cfg(test)]
 mod changes_tests;
+mod config_store;
+#[cfg(test)]
+mod config_store_tests;
 mod control;
+mod control_client;
 mod directory;
 mod dispatcher;
 mod endpoint_sync;
@@ -30,11 +34,7 @@
 mod engines;
 mod failed_attempt;
 mod fetching;
-mod holder;
-#[cfg(test)]
-mod holder_tests;
 mod inputs;
-mod keeper;
 mod members;
 #[cfg(test)]
 mod members_tests;
@@ -61,11 +61,11 @@
 };
 
 use self::{
-    control::Control,
+    control::ControlReplica,
+    control_client::ControlClient,
     directory::Directory,
     endpoint_sync::EndpointSync,
     engines::Engines,
-    keeper::Keeper,
     operations::Operations,
     permit_client::PermitClient,
     placement_client::PlacementClient,
@@ -87,11 +87,11 @@
 
 pub(crate) use self::messages::Outbox;
 pub use self::{
+    config_store::ActiveConfig,
     control::{ControlStatus, DaemonStatus, ReplicaStatus},
+    control_client::Entries,
     endpoints::EndpointStatus,
     failed_attempt::{FailedAttempt, ProbeOutcome},
-    holder::ActiveConfig,
-    keeper::Entries,
     messages::{CallId, Input, NodeCall, NodeReply, Output, Placement, SentChange, SubmitError},
     options::{Clocks, NodeOptions, NodeTiming},
     suspect_tracker::TrialAnswer,
@@ -108,12 +108,12 @@
 pub struct Node {
     vm: VmName,
     outputs: Outbox,
-    keeper: Keeper,
+    client: ControlClient,
     operations: Operations,
     placement: PlacementClient,
     suspects: SuspectTracker,
     permits: PermitClient,
-    control: Option<Control>,
+    control: Option<ControlReplica>,
     directory: Directory,
     registry: Registry,
     endpoint_sync: EndpointSync,
@@ -146,7 +146,7 @@
         Node {
             vm: options.vm.clone(),
             outputs: Outbox::default(),
-            keeper: Keeper::new(options, now),
+            client: ControlClient::new(options, now),
             operations: Operations::numbered_from(options.seed),
             placement: PlacementClient::new(options.disabled, options.seed),
             suspects: SuspectTracker::default(),
@@ -177,21 +177,21 @@
         now: Instant,
     ) -> Node {
         let mut node = Node::entry(options, now);
-        node.control = Some(Control::new(options, id, restored, now));
+        node.control = Some(ControlReplica::new(options, id, restored, now));
         node.directory = Directory::new(&options.vm, &options.seeds, true, now);
-        node.keeper.rely_on_own_replica();
-        node.keeper.set_replicas(node.directory.known());
+        node.client.use_local_replica();
+        node.client.set_replicas(node.directory.known());
         node
     }
 
     /// The configuration in force here, if any.
     pub fn active_config(&self) -> Option<&Arc<ActiveConfig>> {
-        self.keeper.active_config()
+        self.client.active_config()
     }
 
     /// Whether the configuration in force is confirmed to be current.
     pub fn is_fresh(&self) -> bool {
-        self.keeper.is_fresh()
+        self.client.is_fresh()
     }
 
     /// How a request stands under which endpoints may have ended.
@@ -234,7 +234,7 @@
 
     /// When [`Input::Tick`] is next needed.
     pub fn next_tick(&self) -> Instant {
-        let mut next = self.keeper.next_tick().min(self.placement.next_tick());
+        let mut next = self.client.next_tick().min(self.placement.next_tick());
         next = next.min(self.directory.next_tick());
         next = next.min(self.suspects.next_tick().unwrap_or(next));
         next = next.min(self.permits.next_tick().unwrap_or(next));
@@ -250,10 +250,10 @@
         if let Some(control) = &mut self.control {
             control.tick(clocks, out);
         }
-        self.keeper.tick(clocks.now, out);
-        let leader = self.keeper.leader();
+        self.client.tick(clocks.now, out);
+        let leader = self.client.leader();
         self.operations.tick(leader, clocks.now, out);
-        self.placement.tick(self.keeper.scheduler(clocks.now), clocks.now, out);
+        self.placement.tick(self.client.scheduler(clocks.now), clocks.now, out);
         self.directory.tick(clocks.now, out);
         self.endpoint_sync.tick(&self.vm, || self.registry.digest(), clocks.now, out);
         if self.next_search <= clocks.now {
@@ -274,7 +274,7 @@
         &mut self,
         now: Instant,
     ) -> (&mut PermitClient, permit_client::Context<'_>, &mut Outbox) {
-        let scheduler = self.keeper.scheduler(now);
+        let scheduler = self.client.scheduler(now);
         let throttle = self.placement.throttle_mut();
         let cx = permit_client::Context { scheduler, throttle, now };
         (&mut self.permits, cx, &mut self.outputs)
@@ -286,7 +286,7 @@
         clocks: Clocks,
     ) -> (&mut SuspectTracker, Context<'_>, &mut Outbox) {
         let cx = Context {
-            leader: self.keeper.leader(),
+            leader: self.client.leader(),
             operations: &mut self.operations,
             registry: &self.registry,
             now: clocks.now,
@@ -299,7 +299,7 @@
     fn suspect_news(&mut self, news: &SuspectNews, now: Instant) {
         self.suspects.take(news, &mut self.outputs);
         let state = self.suspects.known().state();
-        self.keeper.know_suspects(state, news.more, now, &mut self.outputs);
+        self.client.set_suspects_state(state, news.more, now, &mut self.outputs);
     }
 
     fn link_up(&mut self, vm: VmName, clocks: Clocks) {
@@ -307,7 +307,7 @@
         if let Some(control) = &mut self.control {
             control.link_up(&vm, out);
         }
-        self.keeper.link_up(&vm, clocks.now, out);
+        self.client.link_up(&vm, clocks.now, out);
         self.directory.link_up(&vm, out);
         if self.control.is_some() {
             let sums = self.registry.digest().sums().to_vec();
@@ -320,7 +320,7 @@
         if let Some(control) = &mut self.control {
             control.link_down(vm, clocks, &mut self.outputs);
         }
-        self.keeper.link_down(vm, clocks.now, &mut self.outputs);
+        self.client.link_down(vm, clocks.now, &mut self.outputs);
         self.operations.link_down(vm);
         self.endpoint_sync.link_down(vm, clocks.now);
         self.directory.link_down(vm);
@@ -328,21 +328,21 @@
     }
 
     fn leads(&self) -> bool {
-        self.control.as_ref().is_some_and(Control::leads)
+        self.control.as_ref().is_some_and(ControlReplica::leads)
     }
 
     /// Delivers messages to this node itself and tells the parts of news from each other.
     fn settle(&mut self, clocks: Clocks) {
         loop {
-            self.keeper.set_replicas(self.directory.known());
+            self.client.set_replicas(self.directory.known());
             if let Some(control) = &self.control {
-                self.keeper.take_accepted(control.state(), clocks.now, &mut self.outputs);
+                self.client.load_accepted(control.state(), clocks.now, &mut self.outputs);
             }
-            let active_config = self.keeper.take_changed();
+            let active_config = self.client.take_config_change();
             self.tell_leader_what_it_lacks(clocks.now);
             self.send_news(clocks.now);
             self.remember_if_due(clocks.now);
-            let halls_back = self.keeper.take_halls_back();
+            let halls_back = self.client.take_restored_halls();
             self.note_halls_back(halls_back.as_deref().unwrap_or_default(), clocks.now);
             let registered = self.hand_out_if_due(halls_back.is_some(), clocks.now);
             if active_config.is_some() || registered {
@@ -351,11 +351,11 @@
             if let Some(active_config) = active_config {
                 self.outputs.push(Output::ConfigActivated(active_config));
             }
-            if let Some(leader) = self.keeper.take_leader_change() {
+            if let Some(leader) = self.client.take_leader_change() {
                 let now = clocks.now;
                 self.operations.leader_changed(leader.as_ref(), now, &mut self.outputs);
                 self.suspects.leader_changed(leader.as_ref(), &mut self.outputs);
-                let scheduler = self.keeper.scheduler(now);
+                let scheduler = self.client.scheduler(now);
                 let term = scheduler.map_or(0, |scheduler| scheduler.term);
                 self.outputs.push(Output::Leader { vm: leader, term });
                 self.placement.scheduler_changed(scheduler, now, &mut self.outputs);
--- a/crates/core/src/node/permit_client.rs
+++ b/crates/core/src/node/permit_client.rs
@@ -3,7 +3,7 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use super::{CallId, NodeReply, Outbox, Output, VmName, keeper::SchedulerAt};
+use super::{CallId, NodeReply, Outbox, Output, VmName, control_client::RemoteScheduler};
 use crate::{
     throttle::{Change, Permit, PermitQueue, PermitRequest, Throttle, Word},
     units::Instant,
@@ -35,7 +35,7 @@
 /// What the parts of a daemon beside this one know now.
 pub(super) struct Context<'a> {
     /// The scheduler, while it answers.
-    pub(super) scheduler: Option<&'a SchedulerAt>,
+    pub(super) scheduler: Option<&'a RemoteScheduler>,
     pub(super) throttle: &'a mut Throttle,
     pub(super) now: Instant,
 }
--- a/crates/core/src/node/placement_client/backoff.rs
+++ b/crates/core/src/node/placement_client/backoff.rs
@@ -5,7 +5,7 @@
 use super::PlacementClient;
 use crate::{
     backoff::{OWN_DAEMON, Rejection},
-    node::{Outbox, Output, VmName, keeper::SchedulerAt},
+    node::{Outbox, Output, VmName, control_client::RemoteScheduler},
     units::Instant,
     wire::{Body, Overloaded, Rejected},
 };
@@ -18,7 +18,7 @@
     pub(crate) fn rejected(
         &mut self,
         rejection: &Rejection,
-        scheduler: Option<&SchedulerAt>,
+        scheduler: Option<&RemoteScheduler>,
         now: Instant,
         out: &mut Outbox,
     ) {
--- a/crates/core/src/node/placement_client/mod.rs
+++ b/crates/core/src/node/placement_client/mod.rs
@@ -14,8 +14,8 @@
 };
 
 use super::{
-    CallId, NodeReply, Outbox, Output, Placement, VmName, admit, engines::Engines,
-    keeper::SchedulerAt, load_report,
+    CallId, NodeReply, Outbox, Output, Placement, VmName, admit, control_client::RemoteScheduler,
+    engines::Engines, load_report,
 };
 use crate::{
     backoff::BackoffTable,
@@ -178,7 +178,7 @@
         &mut self,
         call: CallId,
         mut req: Request,
-        scheduler: Option<&SchedulerAt>,
+        scheduler: Option<&RemoteScheduler>,
         now: Instant,
         out: &mut Outbox,
     ) {
@@ -319,7 +319,12 @@
         }
     }
 
-    pub(crate) fn tick(&mut self, scheduler: Option<&SchedulerAt>, now: Instant, out: &mut Outbox) {
+    pub(crate) fn tick(
+        &mut self,
+        scheduler: Option<&RemoteScheduler>,
+        now: Instant,
+        out: &mut Outbox,
+    ) {
         match (scheduler, &self.scheduler) {
             (None, _) => {
                 self.scheduler = None;
@@ -342,7 +347,7 @@
     /// Tells a new scheduler what runs and what waits here.
     pub(crate) fn scheduler_changed(
         &mut self,
-        scheduler: Option<&SchedulerAt>,
+        scheduler: Option<&RemoteScheduler>,
         now: Instant,
         out: &mut Outbox,
     ) {
--- a/crates/core/src/node/tests/leaving.rs
+++ b/crates/core/src/node/tests/leaving.rs
@@ -9,7 +9,7 @@
 use super::net::{Net, Site, request};
 use crate::{
     backoff::Rejection,
-    node::{CallId, Input, NodeCall, VmName, control::Control},
+    node::{CallId, Input, NodeCall, VmName, control::ControlReplica},
     placement::Scheduler,
     wire::HealthNews,
 };
@@ -130,7 +130,7 @@
     fn schedulers(&self) -> Vec<&Scheduler> {
         let nodes = || self.net.hosts.values().filter_map(|host| host.node.as_ref());
         let control = nodes().filter_map(|node| node.control.as_ref());
-        let leaders = control.filter_map(Control::dispatcher);
+        let leaders = control.filter_map(ControlReplica::scheduler);
         leaders.chain(nodes().map(|node| node.placement.local())).collect()
     }
 }
--- a/crates/core/src/node/tests/net/mod.rs
+++ b/crates/core/src/node/tests/net/mod.rs
@@ -18,7 +18,7 @@
     mechanism::Disabled,
     node::{
         CallId, Clocks, ControlStatus, Input, Node, NodeCall, NodeOptions, NodeTiming, Output,
-        VmName, control::Control,
+        VmName, control::ControlReplica,
     },
     quarantine::{RequestDigest, Standing},
     state::{ConfigChange, HallOrder},
@@ -346,7 +346,7 @@
 
     /// A VM whose replica takes itself for the leader.
     pub(super) fn leader(&self) -> Option<VmName> {
-        let leads = |node: &Node| node.control.as_ref().is_some_and(Control::leads);
+        let leads = |node: &Node| node.control.as_ref().is_some_and(ControlReplica::leads);
         let found = self.hosts.iter().find(|(_, h)| h.node.as_ref().is_some_and(leads));
         found.map(|(vm, _)| vm.clone())
     }
