--- a/crates/core/src/node/admit.rs
+++ b/crates/core/src/node/admit.rs
@@ -21,10 +21,10 @@
         prefix: req.prefix.0,
         max_tokens: req.max_tokens,
         max_wait_ms: max_wait.as_millis() as u64,
-        first_within_ms: (max_wait + req.first_within.saturating_sub(req.max_wait)).as_millis()
+        first_within_ms: (max_wait + req.ttft_target.saturating_sub(req.max_wait)).as_millis()
             as u64,
         avoid: req.avoid.iter().map(|name| name.to_string()).collect(),
-        apart: req.apart,
+        apart: req.isolated,
         rank: req.rank,
         share: req.share,
         max_running: req.max_running,
@@ -54,8 +54,8 @@
         prefix: PrefixHash(admit.prefix),
         max_tokens: admit.max_tokens,
         max_wait: Duration::from_millis(admit.max_wait_ms),
-        first_within: Duration::from_millis(admit.first_within_ms),
+        ttft_target: Duration::from_millis(admit.first_within_ms),
         avoid: admit.avoid.into_iter().map(Into::into).collect(),
-        apart: admit.apart,
+        isolated: admit.apart,
     }
 }
--- a/crates/core/src/node/dispatcher.rs
+++ b/crates/core/src/node/dispatcher.rs
@@ -148,7 +148,7 @@
         }
         let freed = !progress.finished.is_empty()
             || !progress.ended.is_empty()
-            || self.scheduler.has_apart()
+            || self.scheduler.has_isolated()
             || !self.scheduler.backoffs.is_empty();
         for tokens in progress.finished {
             self.scheduler.finish(ticket(tokens.number), tokens.tokens, true, now);
--- a/crates/core/src/node/placement_client/mod.rs
+++ b/crates/core/src/node/placement_client/mod.rs
@@ -230,7 +230,7 @@
         let first = running.tokens == 0;
         running.tokens = tokens;
         self.local.progress(ticket(call), tokens, now);
-        if self.local.has_apart() {
+        if self.local.has_isolated() {
             self.decide_locally(now, out);
         }
         match &self.scheduler {
--- a/crates/core/src/node/tests/net/fixture.rs
+++ b/crates/core/src/node/tests/net/fixture.rs
@@ -48,8 +48,8 @@
         prefix: PrefixHash(1),
         max_tokens: 100,
         max_wait: Duration::from_secs(2),
-        first_within: Duration::from_secs(2),
+        ttft_target: Duration::from_secs(2),
         avoid: Vec::new(),
-        apart: false,
+        isolated: false,
     }
 }
--- a/crates/core/src/placement/apart.rs
+++ b/crates/core/src/placement/apart.rs
@@ -39,7 +39,7 @@
 impl Scheduler {
     /// Whether any request runs apart or waits for it: then the first tokens of others let it start, and its
     /// own let others.
-    pub(crate) fn has_apart(&self) -> bool {
+    pub(crate) fn has_isolated(&self) -> bool {
         !self.apart.waiting.is_empty() || !self.apart.kept.is_empty()
     }
 
@@ -116,7 +116,7 @@
         let waiting = &self.apart.waiting[at];
         let req = &waiting.req;
         let mut work = Work::new(req, self.forecast.survival(&req.workspace, &req.kind));
-        work.first_within = req.first_within.saturating_sub(now.since(waiting.arrived));
+        work.ttft_target = req.ttft_target.saturating_sub(now.since(waiting.arrived));
         let is_alone = state.kept_for.is_none() || state.reading.unread() == 0;
         is_alone && self.policy.choose(&work, &[state], now).is_some()
     }
--- a/crates/core/src/placement/apart_tests.rs
+++ b/crates/core/src/placement/apart_tests.rs
@@ -12,7 +12,7 @@
 /// A request that runs apart and may wait long.
 fn apart(number: u64) -> Request {
     let long = Duration::from_secs(60);
-    Request { apart: true, max_wait: long, first_within: long, ..request(number, 100, 1_000) }
+    Request { isolated: true, max_wait: long, ttft_target: long, ..request(number, 100, 1_000) }
 }
 
 /// Starts requests, and returns where each went.
@@ -156,5 +156,5 @@
     let gave_up =
         |action: &Action| matches!(action, Action::GiveUp { ticket, .. } if ticket.number == 1);
     expect_that!(actions.iter().filter(|action| gave_up(action)).count(), eq(1));
-    expect_that!(scheduler.has_apart(), eq(false));
+    expect_that!(scheduler.has_isolated(), eq(false));
 }
--- a/crates/core/src/placement/cold_start_tests.rs
+++ b/crates/core/src/placement/cold_start_tests.rs
@@ -47,7 +47,7 @@
 /// A request that waits for longer than an endpoint is cold.
 fn patient(number: u64) -> Request {
     let long = Duration::from_secs(30);
-    Request { max_wait: long, first_within: long, ..request(number, 100, 100) }
+    Request { max_wait: long, ttft_target: long, ..request(number, 100, 100) }
 }
 
 /// The endpoints that requests are sent to now.
--- a/crates/core/src/placement/evacuation.rs
+++ b/crates/core/src/placement/evacuation.rs
@@ -188,7 +188,7 @@
             .iter()
             .filter(|(ticket, placed)| {
                 placed.endpoint == *source
-                    && !placed.req.apart
+                    && !placed.req.isolated
                     && goes_on(placed)
                     && self.evacuation.may_move(ticket, now)
             })
--- a/crates/core/src/placement/fixture.rs
+++ b/crates/core/src/placement/fixture.rs
@@ -47,9 +47,9 @@
         prefix: PrefixHash(number),
         max_tokens,
         max_wait: Duration::from_secs(1),
-        first_within: Duration::from_secs(1),
+        ttft_target: Duration::from_secs(1),
         avoid: Vec::new(),
-        apart: false,
+        isolated: false,
     }
 }
 
--- a/crates/core/src/placement/handover.rs
+++ b/crates/core/src/placement/handover.rs
@@ -69,7 +69,7 @@
     fn destination_of(&mut self, ticket: Ticket, now: Instant) -> Next {
         let Some(placed) = self.placed.get(&ticket) else { return Next::Stay };
         let Some(source) = self.endpoints.get(&placed.endpoint) else { return Next::Stay };
-        if source.health == Health::Leaving || !source.spec.moves || placed.req.apart {
+        if source.health == Health::Leaving || !source.spec.moves || placed.req.isolated {
             return Next::Stay;
         }
         let work = self.rest_of(placed);
--- a/crates/core/src/placement/handover_tests.rs
+++ b/crates/core/src/placement/handover_tests.rs
@@ -13,8 +13,8 @@
 
 /// A chat whose answer is expected to be long, and that may wait for its first token.
 fn chat(number: u64) -> Request {
-    let first_within = Duration::from_secs(60);
-    Request { first_within, ..request(number, 3_000, 2_000) }
+    let ttft_target = Duration::from_secs(60);
+    Request { ttft_target, ..request(number, 3_000, 2_000) }
 }
 
 /// A scheduler of engines in these data halls, where `e0` reads prompts most of its time and then
@@ -30,8 +30,8 @@
         scheduler.endpoint_leaving(&name, true);
     }
     for number in 200..206 {
-        let first_within = chat(number).first_within;
-        let req = Request { kind: "short".into(), first_within, ..request(number, 2_500, 12) };
+        let ttft_target = chat(number).ttft_target;
+        let req = Request { kind: "short".into(), ttft_target, ..request(number, 2_500, 12) };
         scheduler.arrive(req, ms(number * 2)).unwrap();
         scheduler.decide(ms(number * 2));
     }
--- a/crates/core/src/placement/in_time_tests.rs
+++ b/crates/core/src/placement/in_time_tests.rs
@@ -19,7 +19,7 @@
 fn reads_for(number: u64, ms: u64) -> Request {
     let prompt_tokens = ms * 7;
     let max_wait = WITHIN.saturating_sub(prefill_time(prompt_tokens));
-    Request { max_wait, first_within: WITHIN, ..request(number, prompt_tokens, 100) }
+    Request { max_wait, ttft_target: WITHIN, ..request(number, prompt_tokens, 100) }
 }
 
 fn starts(scheduler: &mut Scheduler, now: Instant) -> Vec<(u64, String)> {
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -117,11 +117,11 @@
     /// Longest time in the queue.
     pub max_wait: Duration,
     /// Time within which its first token should come, counted as `max_wait` is.
-    pub first_within: Duration,
+    pub ttft_target: Duration,
     /// Endpoints that it should not be sent to again: they have rejected it, or failed.
     pub avoid: Vec<Arc<str>>,
     /// Whether it runs apart from others, since endpoints have ended under it.
-    pub apart: bool,
+    pub isolated: bool,
 }
 
 /// A decision of the scheduler.
--- a/crates/core/src/placement/policy/forecast.rs
+++ b/crates/core/src/placement/policy/forecast.rs
@@ -120,7 +120,7 @@
     /// Seconds lost before the first token.
     fn time_to_first(&self, work: &Work, endpoint: &EndpointState, now: Instant) -> f64 {
         let first = first_token(work, endpoint, now).as_secs_f64();
-        let within = work.first_within.as_secs_f64();
+        let within = work.ttft_target.as_secs_f64();
         let late = LATE_VALUE * (2.0 * first / within - 1.0).clamp(0.0, 1.0).powi(2);
         self.if_on(Mechanism::ReadingWait, FIRST_TOKEN_WEIGHT * first)
             + self.if_on(Mechanism::LateFirstToken, late)
@@ -170,7 +170,7 @@
 
 /// Whether the first token would come in time, or late wherever it is sent.
 fn is_in_time(work: &Work, endpoint: &EndpointState, now: Instant) -> bool {
-    let within = work.first_within;
+    let within = work.ttft_target;
     let is_late_anyway = within < endpoint.reading.time_for(work.prompt_tokens);
     work.prompt_tokens == 0 || is_late_anyway || first_token(work, endpoint, now) <= within
 }
--- a/crates/core/src/placement/policy/mod.rs
+++ b/crates/core/src/placement/policy/mod.rs
@@ -30,7 +30,7 @@
     /// Tokens that it is expected to make.
     pub(crate) output: f64,
     /// Time within which its first token should come.
-    pub(crate) first_within: Duration,
+    pub(crate) ttft_target: Duration,
 }
 
 impl Work {
@@ -44,7 +44,7 @@
             prompt_tokens: req.prompt_tokens,
             prefix: req.prefix,
             output,
-            first_within: req.first_within,
+            ttft_target: req.ttft_target,
         }
     }
 }
--- a/crates/core/src/placement/reading_tests.rs
+++ b/crates/core/src/placement/reading_tests.rs
@@ -14,8 +14,8 @@
 
 /// A short answer to a long prompt.
 fn short(number: u64) -> Request {
-    let first_within = Duration::from_secs(60);
-    Request { kind: "short".into(), first_within, ..request(number, 2_500, 12) }
+    let ttft_target = Duration::from_secs(60);
+    Request { kind: "short".into(), ttft_target, ..request(number, 2_500, 12) }
 }
 
 /// Lets a request end as soon as its prompt would have been read.
@@ -79,7 +79,7 @@
     for number in 100..104 {
         placed(&mut scheduler, short(number), ms(10));
     }
-    let hurried = Request { first_within: Duration::from_millis(800), ..short(200) };
+    let hurried = Request { ttft_target: Duration::from_millis(800), ..short(200) };
 
     expect_that!(placed(&mut scheduler, hurried, ms(11)), eq("e0"));
 }
--- a/crates/core/src/placement/running.rs
+++ b/crates/core/src/placement/running.rs
@@ -155,7 +155,7 @@
             prompt_tokens: 0,
             prefix: req.prefix,
             output: survival.expected_beyond(placed.tokens, req.max_tokens),
-            first_within: Duration::MAX,
+            ttft_target: Duration::MAX,
         }
     }
 
--- a/crates/core/src/placement/scheduler.rs
+++ b/crates/core/src/placement/scheduler.rs
@@ -270,7 +270,7 @@
         };
         self.counts.entry(req.workspace.clone()).or_default().waiting += 1;
         self.queued.insert(req.ticket, queued);
-        if req.apart {
+        if req.isolated {
             self.apart.push(req, now);
         } else if let Some(target) = self.targets.get_mut(&req.target) {
             target.queue.push(req, now);
@@ -368,7 +368,7 @@
                 continue;
             }
             let mut work = Work::new(req, self.forecast.survival(&req.workspace, &req.kind));
-            work.first_within = req.first_within.saturating_sub(now.since(waiting.arrived));
+            work.ttft_target = req.ttft_target.saturating_sub(now.since(waiting.arrived));
             self.samples = self.samples.wrapping_add(1);
             let sample = state.sample(self.samples, req.prefix);
             let open = sample.filter_map(|name| self.endpoints.get(name));
--- a/crates/lab/src/experiment/cost.rs
+++ b/crates/lab/src/experiment/cost.rs
@@ -67,9 +67,9 @@
         prefix: PrefixHash(number % 4_000),
         max_tokens: 2_000,
         max_wait: std::time::Duration::from_secs(10),
-        first_within: std::time::Duration::from_secs(10),
+        ttft_target: std::time::Duration::from_secs(10),
         avoid: Vec::new(),
-        apart: false,
+        isolated: false,
     };
     scheduler.arrive(req, now).expect("there is room");
     let actions = scheduler.decide(now);
--- a/crates/lab/src/experiment/sim.rs
+++ b/crates/lab/src/experiment/sim.rs
@@ -184,9 +184,9 @@
             prefix: PrefixHash(arrival.prefix),
             max_tokens: 32_768,
             max_wait: kind.deadline,
-            first_within: kind.deadline,
+            ttft_target: kind.deadline,
             avoid: Vec::new(),
-            apart: false,
+            isolated: false,
         };
         if self.scheduler.arrive(req, Instant(self.now)).is_err() {
             self.give_up(i);
--- a/crates/lab/src/fleet/deciders.rs
+++ b/crates/lab/src/fleet/deciders.rs
@@ -252,7 +252,7 @@
 fn request(i: usize, arrival: &Arrival, now: Instant) -> Request {
     let kind = &KINDS[arrival.kind];
     let waited = now.since(Instant(arrival.at)) + WAY_BACK;
-    let first_within = kind.target_latency.saturating_sub(waited);
+    let ttft_target = kind.target_latency.saturating_sub(waited);
     Request {
         ticket: ticket(i, arrival),
         workspace: "w".into(),
@@ -265,9 +265,9 @@
         prompt_tokens: arrival.prompt,
         prefix: PrefixHash(i as u64),
         max_tokens: MAX_TOKENS,
-        max_wait: first_within.saturating_sub(prefill_time(arrival.prompt)),
-        first_within,
+        max_wait: ttft_target.saturating_sub(prefill_time(arrival.prompt)),
+        ttft_target,
         avoid: Vec::new(),
-        apart: false,
+        isolated: false,
     }
 }
--- a/crates/server/src/relay/job.rs
+++ b/crates/server/src/relay/job.rs
@@ -124,8 +124,8 @@
         let workspace = workspace.and_then(|name| self.config.config.workspaces.get(name));
         // As long as it can still begin to answer in time.
         let waited = self.arrived.elapsed() + WAY_BACK;
-        let first_within = spec.target_latency.saturating_sub(waited);
-        let max_wait = first_within.saturating_sub(placement::prefill_time(prompt.tokens));
+        let ttft_target = spec.target_latency.saturating_sub(waited);
+        let max_wait = ttft_target.saturating_sub(placement::prefill_time(prompt.tokens));
         placement::Request {
             ticket: Ticket { entry: 0, number: 0 },
             workspace: self.workspace.clone().unwrap_or_else(|| "-".into()),
@@ -139,9 +139,9 @@
             prefix: PrefixHash(prompt.shared_prefix_hash),
             max_tokens: prompt.max_output_tokens.max(1),
             max_wait: max_wait.min(self.time_left()),
-            first_within,
+            ttft_target,
             avoid,
-            apart,
+            isolated: apart,
         }
     }
 
--- a/crates/trayswitchd/src/callers/call.rs
+++ b/crates/trayswitchd/src/callers/call.rs
@@ -258,7 +258,7 @@
 ) -> Result<Attempted, RequestError> {
     let mut permit = callers.permit(&request.digest)?;
     let call = callers.node().view().next_call();
-    let place = placement::Request { apart: permit.is_apart(), ..place };
+    let place = placement::Request { isolated: permit.is_apart(), ..place };
     let placement = callers.place(call, place)?;
     let address = callers.address(&placement.endpoint);
     let asked = callers.node().now();
--- a/crates/trayswitchd/src/callers/chat.rs
+++ b/crates/trayswitchd/src/callers/chat.rs
@@ -124,9 +124,9 @@
         prefix: PrefixHash::default(),
         max_tokens: 0,
         max_wait: kind_spec.max_wait,
-        first_within: kind_spec.max_wait,
+        ttft_target: kind_spec.max_wait,
         avoid: Vec::new(),
-        apart: false,
+        isolated: false,
     })
 }
 
--- a/crates/trayswitchd/src/callers/run.rs
+++ b/crates/trayswitchd/src/callers/run.rs
@@ -131,7 +131,7 @@
     fn place(&mut self) -> Result<Place, RequestError> {
         let permit = self.callers.permit(&self.chat.digest)?;
         let call = self.callers.node().view().next_call();
-        let req = placement::Request { apart: permit.is_apart(), ..self.chat.place.clone() };
+        let req = placement::Request { isolated: permit.is_apart(), ..self.chat.place.clone() };
         let placement = self.callers.place(call, req)?;
         let Some(address) = self.callers.address(&placement.endpoint) else {
             self.callers.node().input(Input::Finished { call, tokens: 0, whole: false });
