--- a/crates/core/src/node/dispatcher.rs
+++ b/crates/core/src/node/dispatcher.rs
@@ -85,7 +85,7 @@
     pub(crate) fn configure(&mut self, engines: &Engines, now: Instant) {
         let endpoints = engines.all();
         self.scheduler.configure(&endpoints);
-        self.scheduler.take_halls_out(&engines.halls_out);
+        self.scheduler.set_halls_out(&engines.halls_out);
         for (name, until) in &engines.cold {
             self.scheduler.endpoint_cold(name, *until, now);
         }
@@ -114,7 +114,7 @@
         out: &mut Outbox,
     ) {
         let ticket = Ticket { entry: self.number(from), number: moved.number };
-        self.scheduler.moved(ticket, &moved.at, moved.done, now);
+        self.scheduler.on_relocated(ticket, &moved.at, moved.done, now);
         self.decide(now, out);
     }
 
@@ -127,7 +127,7 @@
             self.scheduler.adopt(req, &endpoint, tokens, now);
             return;
         }
-        if let Err(error) = self.scheduler.arrive(req, now) {
+        if let Err(error) = self.scheduler.enqueue(req, now) {
             out.send(from, Body::GiveUp(give_up(ticket, error)));
             return;
         }
@@ -233,7 +233,7 @@
     pub(crate) fn on_rejection(&mut self, from: &VmName, rejected: Rejected, now: Instant) {
         let rejection = rejected.decode();
         let daemon = self.number(from);
-        self.scheduler.rejected(daemon, &rejection, now);
+        self.scheduler.on_rejection(daemon, &rejection, now);
         let must_tell = self.scheduler.shares_backoffs()
             && self.scheduler.backoffs.take_news(&rejection.endpoint, now);
         if must_tell {
@@ -307,7 +307,7 @@
         if now < self.open_at {
             return;
         }
-        for Relocation { ticket, from, to } in self.scheduler.evacuate(now) {
+        for Relocation { ticket, from, to } in self.scheduler.plan_relocations(now) {
             let Some(vm) = self.names.get(&ticket.entry) else { continue };
             let (from, to) = (from.to_string(), to.to_string());
             out.send(vm, Body::Move(Move { number: ticket.number, from, to }));
--- a/crates/core/src/node/endpoints.rs
+++ b/crates/core/src/node/endpoints.rs
@@ -250,7 +250,7 @@
         hall: state.spec().hall.clone(),
         target: state.spec().target.name().to_owned(),
         health: match state.health() {
-            _ if state.is_out() => "out",
+            _ if state.is_out_of_service() => "out",
             Health::Live => "live",
             Health::Leaving => "leaving",
             Health::Down(until) if now < until => "down",
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -211,7 +211,7 @@
 
     /// Whether an endpoint may be sent a request of this daemon, as far as it has rejected some.
     pub fn admission(&self, endpoint: &str, now: Instant) -> Admission {
-        self.placement.local().own_admission(endpoint, now)
+        self.placement.local().local_admission(endpoint, now)
     }
 
     /// The table of endpoints that have rejected requests, for those that this daemon sends by itself.
@@ -222,7 +222,7 @@
     /// The chance that an answer would end within this time, by the lengths and paces that this
     /// daemon has seen itself.
     pub fn completion_probability(&self, req: &Request, within: Duration, now: Instant) -> f64 {
-        self.placement.local().chance_to_end(req, within, now)
+        self.placement.local().completion_probability(req, within, now)
     }
 
     /// Takes an input and returns what must be done.
--- a/crates/core/src/node/placement_client/backoff.rs
+++ b/crates/core/src/node/placement_client/backoff.rs
@@ -22,7 +22,7 @@
         now: Instant,
         out: &mut Outbox,
     ) {
-        self.local.rejected(OWN_DAEMON, rejection, now);
+        self.local.on_rejection(OWN_DAEMON, rejection, now);
         if let Some(scheduler) = scheduler {
             out.send(&scheduler.vm, Body::Rejected(Rejected::encode(rejection)));
         }
--- a/crates/core/src/node/placement_client/local.rs
+++ b/crates/core/src/node/placement_client/local.rs
@@ -18,7 +18,7 @@
         now: Instant,
         out: &mut Outbox,
     ) {
-        if let Err(error) = self.local.arrive(req.clone(), now) {
+        if let Err(error) = self.local.enqueue(req.clone(), now) {
             out.reply(call, NodeReply::Placed(Err(error)));
             return;
         }
@@ -40,7 +40,7 @@
     /// Starts, moves and gives up what this daemon places by itself.
     pub(super) fn decide_locally(&mut self, now: Instant, out: &mut Outbox) {
         if self.scheduler.is_none() {
-            for Relocation { ticket, from, to } in self.local.evacuate(now) {
+            for Relocation { ticket, from, to } in self.local.plan_relocations(now) {
                 out.push(Output::Move { call: CallId(ticket.number), from, to });
             }
         }
--- a/crates/core/src/node/placement_client/mod.rs
+++ b/crates/core/src/node/placement_client/mod.rs
@@ -121,7 +121,7 @@
             self.local.configure(&endpoints);
             self.endpoints = endpoints;
         }
-        self.local.take_halls_out(&engines.halls_out);
+        self.local.set_halls_out(&engines.halls_out);
         for (name, until) in &engines.cold {
             self.local.endpoint_cold(name, *until, now);
         }
@@ -151,7 +151,7 @@
     ) {
         let Some(running) = self.running.get_mut(&call) else { return };
         running.endpoint = at.clone();
-        self.local.moved(ticket(call), at, done, now);
+        self.local.on_relocated(ticket(call), at, done, now);
         if done && self.scheduler.is_none() {
             // The other one of two that were drawn.
             self.local.throttle.sent(at, now);
--- a/crates/core/src/placement/apart_tests.rs
+++ b/crates/core/src/placement/apart_tests.rs
@@ -18,7 +18,7 @@
 /// Starts requests, and returns where each went.
 fn start(scheduler: &mut Scheduler, requests: Vec<Request>, at: u64) -> Vec<(u64, String)> {
     for req in requests {
-        scheduler.arrive(req, ms(at)).unwrap();
+        scheduler.enqueue(req, ms(at)).unwrap();
     }
     decide(scheduler, at)
 }
@@ -149,7 +149,7 @@
     let mut scheduler = busy(2, 0);
     start(&mut scheduler, plain(10..20), 0);
     let short = Duration::from_millis(100);
-    scheduler.arrive(Request { max_wait: short, ..apart(1) }, ms(10)).unwrap();
+    scheduler.enqueue(Request { max_wait: short, ..apart(1) }, ms(10)).unwrap();
 
     let actions = scheduler.decide(ms(120));
 
--- a/crates/core/src/placement/backoff.rs
+++ b/crates/core/src/placement/backoff.rs
@@ -76,7 +76,7 @@
 
 impl Scheduler {
     /// Takes what an endpoint has rejected of a daemon's requests.
-    pub fn rejected(&mut self, daemon: u64, rejection: &Rejection, now: Instant) {
+    pub fn on_rejection(&mut self, daemon: u64, rejection: &Rejection, now: Instant) {
         self.backoffs.on_rejection(daemon, rejection, now);
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// The same for a request that a daemon sends by itself.
-    pub(crate) fn own_admission(&self, endpoint: &str, now: Instant) -> Admission {
+    pub(crate) fn local_admission(&self, endpoint: &str, now: Instant) -> Admission {
         self.admission_of(endpoint, OWN_DAEMON, now)
     }
 
--- a/crates/core/src/placement/backoff_tests.rs
+++ b/crates/core/src/placement/backoff_tests.rs
@@ -26,7 +26,7 @@
 fn reject(scheduler: &mut Scheduler, daemon: u64, endpoint: &str, retry_after_ms: u64, at: u64) {
     let retry_after = (0 < retry_after_ms).then(|| Duration::from_millis(retry_after_ms));
     let rejection = Rejection { endpoint: endpoint.into(), started_at: 0, retry_after };
-    scheduler.rejected(daemon, &rejection, ms(at));
+    scheduler.on_rejection(daemon, &rejection, ms(at));
 }
 
 /// Where requests are placed now, by their numbers.
@@ -41,7 +41,7 @@
 /// Where one more request of a daemon is placed, if it is.
 fn place(scheduler: &mut Scheduler, req: Request, at: u64) -> Option<String> {
     let number = req.ticket.number;
-    scheduler.arrive(req, ms(at)).unwrap();
+    scheduler.enqueue(req, ms(at)).unwrap();
     placed(scheduler, at).into_iter().find(|(of, _)| *of == number).map(|(_, endpoint)| endpoint)
 }
 
@@ -63,7 +63,7 @@
     reject(&mut scheduler, D1, "e0", 3_000, 0);
     let with_another = place(&mut scheduler, chat_of(D2, 1), 10);
 
-    scheduler.take_halls_out(&HallsOut::default());
+    scheduler.set_halls_out(&HallsOut::default());
     scheduler.endpoint_leaving("e1", true);
     let without = place(&mut scheduler, chat_of(D2, 2), 20);
 
@@ -76,7 +76,7 @@
     let mut scheduler = engines(1);
     reject(&mut scheduler, D1, "e0", 500, 0);
     for number in 0..4 {
-        scheduler.arrive(chat_of(D1, number), ms(600)).unwrap();
+        scheduler.enqueue(chat_of(D1, number), ms(600)).unwrap();
     }
 
     let first = placed(&mut scheduler, 600);
@@ -95,7 +95,7 @@
     let trial = place(&mut scheduler, chat_of(D1, 1), 200);
     scheduler.endpoint_leaving("e1", false);
 
-    scheduler.moved(Ticket { entry: D1, number: 1 }, "e1", true, ms(300));
+    scheduler.on_relocated(Ticket { entry: D1, number: 1 }, "e1", true, ms(300));
     scheduler.endpoint_leaving("e1", true);
 
     expect_that!(trial, some(eq("e0")));
@@ -118,8 +118,8 @@
     reject(&mut scheduler, D1, "e0", 5_000, 0);
     reject(&mut scheduler, D1, "e1", 4_000, 0);
 
-    let refused = scheduler.arrive(chat_of(D1, 1), ms(1_000)).unwrap_err();
-    let next = scheduler.arrive(chat_of(D1, 2), ms(1_000)).unwrap_err();
+    let refused = scheduler.enqueue(chat_of(D1, 1), ms(1_000)).unwrap_err();
+    let next = scheduler.enqueue(chat_of(D1, 2), ms(1_000)).unwrap_err();
 
     expect_that!(refused.kind, eq(ErrorKind::Overloaded));
     expect_that!(refused.retry_after, some(eq(Duration::from_secs(3))));
@@ -155,9 +155,9 @@
 #[gtest]
 fn what_waits_is_given_up_once_every_engine_has_asked_for_longer_than_it_can() {
     let mut scheduler = scheduler(&[HALL], 1_000);
-    scheduler.arrive(chat_of(D2, 1), ms(0)).unwrap();
+    scheduler.enqueue(chat_of(D2, 1), ms(0)).unwrap();
     let running = placed(&mut scheduler, 0).len();
-    scheduler.arrive(chat_of(D1, 2), ms(10)).unwrap();
+    scheduler.enqueue(chat_of(D1, 2), ms(10)).unwrap();
     let while_full = scheduler.decide(ms(10)).len();
 
     reject(&mut scheduler, D1, "e0", 5_000, 20);
@@ -191,8 +191,8 @@
     reject(&mut scheduler, D1, "e1", 3_000, 0);
     scheduler.endpoint_leaving("e0", true);
 
-    let while_backing_off = scheduler.evacuate(ms(10)).len();
-    let after = scheduler.evacuate(ms(3_010)).len();
+    let while_backing_off = scheduler.plan_relocations(ms(10)).len();
+    let after = scheduler.plan_relocations(ms(3_010)).len();
 
     expect_that!([while_backing_off, after], eq([0, 1]));
 }
--- a/crates/core/src/placement/cold_start_tests.rs
+++ b/crates/core/src/placement/cold_start_tests.rs
@@ -77,7 +77,7 @@
 fn a_scheduler_spaces_out_what_it_sends_to_a_cold_endpoint() {
     let mut scheduler = cold_scheduler(&["a"], ms(1_000));
     for number in 0..200 {
-        scheduler.arrive(patient(number), ms(0)).unwrap();
+        scheduler.enqueue(patient(number), ms(0)).unwrap();
     }
 
     let cold: usize = (0..1_000).map(|at| sent(&mut scheduler, ms(at)).len()).sum();
@@ -92,7 +92,7 @@
     let mut scheduler = cold_scheduler(&["a"], ms(1_000));
     scheduler.configure(&cold_engines(&["a", "b"]));
     for number in 0..100 {
-        scheduler.arrive(patient(number), ms(0)).unwrap();
+        scheduler.enqueue(patient(number), ms(0)).unwrap();
     }
 
     let sent = sent(&mut scheduler, ms(0));
@@ -105,7 +105,7 @@
 fn a_waiting_request_is_looked_at_again_when_a_cold_endpoint_takes_the_next() {
     let mut scheduler = cold_scheduler(&["a"], ms(1_000));
     for number in 0..3 {
-        scheduler.arrive(request(number, 100, 100), ms(0)).unwrap();
+        scheduler.enqueue(request(number, 100, 100), ms(0)).unwrap();
     }
     sent(&mut scheduler, ms(0));
 
@@ -127,11 +127,11 @@
 
     let mut came = 0;
     for at in 0..1_000 {
-        let _ = scheduler.arrive(request(1_000 + at, 100, 100), ms(at));
+        let _ = scheduler.enqueue(request(1_000 + at, 100, 100), ms(at));
         came += sent(&mut scheduler, ms(at)).len();
-        for relocation in scheduler.evacuate(ms(at)) {
+        for relocation in scheduler.plan_relocations(ms(at)) {
             came += 1;
-            scheduler.moved(relocation.ticket, &relocation.to, true, ms(at));
+            scheduler.on_relocated(relocation.ticket, &relocation.to, true, ms(at));
         }
     }
 
@@ -143,7 +143,7 @@
     let mut scheduler = cold_scheduler(&["a"], ms(0));
     scheduler.endpoint_failed("e0", ms(100));
     for number in 0..50 {
-        scheduler.arrive(patient(number), ms(700)).unwrap();
+        scheduler.enqueue(patient(number), ms(700)).unwrap();
     }
 
     let at_once = sent(&mut scheduler, ms(700)).len();
@@ -156,7 +156,7 @@
     let mut scheduler = scheduler(&["a"], 1_000_000);
     scheduler.endpoint_cold("e0", ms(1_000), ms(0));
     for number in 0..20 {
-        scheduler.arrive(request(number, 100, 100), ms(0)).unwrap();
+        scheduler.enqueue(request(number, 100, 100), ms(0)).unwrap();
     }
 
     expect_that!(sent(&mut scheduler, ms(0)).len(), eq(20));
@@ -181,7 +181,7 @@
     for at in 0..300 {
         let now = ms(at * 10);
         for scheduler in &mut alone {
-            let _ = scheduler.arrive(request(at, 100, 100), now);
+            let _ = scheduler.enqueue(request(at, 100, 100), now);
             let to_first = sent(scheduler, now).into_iter().filter(|name| &**name == "e0");
             times.extend(to_first.map(|_| now));
         }
@@ -215,14 +215,14 @@
         for (at, (step, n, size)) in (0u64..).zip(steps) {
             let now = ms(at * 15);
             match step {
-                0..=2 => drop(scheduler.arrive(request(at, size, 2_000), now)),
+                0..=2 => drop(scheduler.enqueue(request(at, size, 2_000), now)),
                 3 => scheduler.endpoint_leaving(&format!("e{n}"), size % 2 == 0),
                 4 => scheduler.endpoint_failed(&format!("e{n}"), now),
                 _ => scheduler.endpoint_cold(&format!("e{n}"), now.after(Duration::from_secs(1)), now),
             }
-            for relocation in scheduler.evacuate(now) {
+            for relocation in scheduler.plan_relocations(now) {
                 times[at_of(&relocation.to)].push(now);
-                scheduler.moved(relocation.ticket, &relocation.to, true, now);
+                scheduler.on_relocated(relocation.ticket, &relocation.to, true, now);
             }
             for endpoint in sent(&mut scheduler, now) {
                 times[at_of(&endpoint)].push(now);
--- a/crates/core/src/placement/endpoint.rs
+++ b/crates/core/src/placement/endpoint.rs
@@ -162,7 +162,7 @@
     }
 
     /// Whether its data hall is out of service.
-    pub fn is_out(&self) -> bool {
+    pub fn is_out_of_service(&self) -> bool {
         self.out
     }
 
--- a/crates/core/src/placement/endpoint_news.rs
+++ b/crates/core/src/placement/endpoint_news.rs
@@ -60,7 +60,7 @@
 
     /// Takes the data halls that are out of service: their endpoints get nothing at all. What runs
     /// there goes on.
-    pub fn take_halls_out(&mut self, halls: &HallsOut) {
+    pub fn set_halls_out(&mut self, halls: &HallsOut) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.set_out(halls.contains(&endpoint.spec.hall));
         }
--- a/crates/core/src/placement/engine_choice_tests.rs
+++ b/crates/core/src/placement/engine_choice_tests.rs
@@ -35,7 +35,7 @@
     for daemon in 0..DAEMONS {
         let mut scheduler = Scheduler::local(Disabled::default(), daemon);
         scheduler.configure(&engines(&halls, MEMORY));
-        scheduler.arrive(request(daemon, 3_000, 1_100), ms(1)).unwrap();
+        scheduler.enqueue(request(daemon, 3_000, 1_100), ms(1)).unwrap();
         let actions = scheduler.decide(ms(1));
         let [Action::Start { endpoint, .. }] = &actions[..] else { panic!("{actions:?}") };
         *chosen.entry(endpoint.to_string()).or_default() += 1;
@@ -59,7 +59,7 @@
     scheduler.configure(&engines(&["h", "h"], MEMORY));
     let req = request(1, 3_000, 1_100);
     let ticket = req.ticket;
-    scheduler.arrive(req, ms(1)).unwrap();
+    scheduler.enqueue(req, ms(1)).unwrap();
     scheduler.decide(ms(1));
 
     let drawn = scheduler.sampled_endpoints(ticket, ms(1));
@@ -77,7 +77,7 @@
     for number in 0..300 {
         let req = request(number, 3_000, 1_100);
         let ticket = req.ticket;
-        scheduler.arrive(req, ms(1)).unwrap();
+        scheduler.enqueue(req, ms(1)).unwrap();
         scheduler.decide(ms(1));
         let drawn = scheduler.sampled_endpoints(ticket, ms(1));
         drawn_slow += drawn.iter().filter(|drawn| &*drawn.endpoint == "e0").count();
--- a/crates/core/src/placement/evacuation.rs
+++ b/crates/core/src/placement/evacuation.rs
@@ -92,7 +92,7 @@
 
 impl Scheduler {
     /// The moves to begin now.
-    pub fn evacuate(&mut self, now: Instant) -> Vec<Relocation> {
+    pub fn plan_relocations(&mut self, now: Instant) -> Vec<Relocation> {
         self.evacuation.next_look = now.after(LOOK);
         self.give_up_moves(now);
         let sources: Vec<Arc<str>> = self
@@ -106,7 +106,7 @@
         moves
     }
 
-    /// When [`Scheduler::evacuate`] must be called again even without other input.
+    /// When [`Scheduler::plan_relocations`] must be called again even without other input.
     pub(super) fn next_evacuation(&self) -> Option<Instant> {
         let waiting = self.must_empty().next().is_some() || self.handover.is_waiting();
         waiting.then_some(self.evacuation.next_look)
@@ -123,7 +123,7 @@
     }
 
     /// Notes where a generation runs after a move, which may have failed.
-    pub fn moved(&mut self, ticket: Ticket, at: &str, done: bool, now: Instant) {
+    pub fn on_relocated(&mut self, ticket: Ticket, at: &str, done: bool, now: Instant) {
         let at: Arc<str> = at.into();
         let ended = self.evacuation.moves.remove(&ticket);
         if !self.placed.contains_key(&ticket) {
--- a/crates/core/src/placement/evacuation_tests.rs
+++ b/crates/core/src/placement/evacuation_tests.rs
@@ -27,7 +27,7 @@
 fn nothing_moves_while_nobody_leaves() {
     let mut scheduler = with_runs(&["a", "a"], &[3_000, 2_000]);
 
-    expect_that!(scheduler.evacuate(ms(2)), len(eq(0)));
+    expect_that!(scheduler.plan_relocations(ms(2)), len(eq(0)));
 }
 
 #[gtest]
@@ -35,10 +35,10 @@
     let mut scheduler = with_runs(&["a", "a", "a"], &[3_000, 5_000, 1_000]);
     scheduler.endpoint_leaving("e0", true);
 
-    let first = scheduler.evacuate(ms(2));
-    let meanwhile = scheduler.evacuate(ms(3));
-    scheduler.moved(first[0].ticket, &first[0].to, true, ms(200));
-    let second = scheduler.evacuate(ms(200));
+    let first = scheduler.plan_relocations(ms(2));
+    let meanwhile = scheduler.plan_relocations(ms(3));
+    scheduler.on_relocated(first[0].ticket, &first[0].to, true, ms(200));
+    let second = scheduler.plan_relocations(ms(200));
 
     expect_that!(first.len(), eq(1));
     expect_that!(first[0].ticket.number, eq(2));
@@ -53,7 +53,7 @@
     scheduler.adopt(request(2, 2_200, 2_000), "e0", 800, ms(1));
     scheduler.endpoint_leaving("e0", true);
 
-    let first = scheduler.evacuate(ms(2));
+    let first = scheduler.plan_relocations(ms(2));
 
     expect_that!(first[0].ticket.number, eq(2));
 }
@@ -69,7 +69,7 @@
     scheduler.adopt(request(2, 3_000, 2_000), "e0", 50, ms(1));
     scheduler.endpoint_leaving("e0", true);
 
-    let first = scheduler.evacuate(ms(2));
+    let first = scheduler.plan_relocations(ms(2));
 
     expect_that!(first[0].ticket.number, eq(2));
 }
@@ -79,11 +79,11 @@
 fn a_move_that_ends_at_its_source_after_all_is_tried_again() {
     let mut scheduler = with_runs(&["a", "a"], &[3_000]);
     scheduler.endpoint_leaving("e0", true);
-    let first = scheduler.evacuate(ms(2));
-    scheduler.moved(first[0].ticket, &first[0].to, true, ms(200));
+    let first = scheduler.plan_relocations(ms(2));
+    scheduler.on_relocated(first[0].ticket, &first[0].to, true, ms(200));
 
-    scheduler.moved(first[0].ticket, "e0", false, ms(220));
-    let later = scheduler.evacuate(ms(500));
+    scheduler.on_relocated(first[0].ticket, "e0", false, ms(220));
+    let later = scheduler.plan_relocations(ms(500));
 
     expect_that!(later.len(), eq(1));
     expect_that!(later[0].ticket, eq(first[0].ticket));
@@ -94,10 +94,10 @@
     let mut scheduler = with_runs(&["a", "a"], &[3_000]);
     scheduler.endpoint_leaving("e0", true);
 
-    let first = scheduler.evacuate(ms(2));
-    scheduler.moved(first[0].ticket, "e0", false, ms(5));
-    let at_once = scheduler.evacuate(ms(6));
-    let later = scheduler.evacuate(ms(500));
+    let first = scheduler.plan_relocations(ms(2));
+    scheduler.on_relocated(first[0].ticket, "e0", false, ms(5));
+    let at_once = scheduler.plan_relocations(ms(6));
+    let later = scheduler.plan_relocations(ms(500));
 
     expect_that!(at_once, len(eq(0)));
     expect_that!(later.len(), eq(1));
@@ -108,11 +108,11 @@
     let mut scheduler = with_runs(&["a", "a", "a"], &[3_000]);
     scheduler.endpoint_leaving("e0", true);
 
-    let first = scheduler.evacuate(ms(2));
-    scheduler.moved(first[0].ticket, "e0", false, ms(5));
-    let second = scheduler.evacuate(ms(500));
-    scheduler.moved(second[0].ticket, "e0", false, ms(505));
-    let third = scheduler.evacuate(ms(1_000));
+    let first = scheduler.plan_relocations(ms(2));
+    scheduler.on_relocated(first[0].ticket, "e0", false, ms(5));
+    let second = scheduler.plan_relocations(ms(500));
+    scheduler.on_relocated(second[0].ticket, "e0", false, ms(505));
+    let third = scheduler.plan_relocations(ms(1_000));
 
     expect_that!(second[0].to, not(eq(&first[0].to)));
     expect_that!(third.len(), eq(1));
@@ -122,9 +122,9 @@
 fn a_move_that_is_never_answered_does_not_block_the_others() {
     let mut scheduler = with_runs(&["a", "a"], &[3_000, 2_000]);
     scheduler.endpoint_leaving("e0", true);
-    scheduler.evacuate(ms(2));
+    scheduler.plan_relocations(ms(2));
 
-    let later = scheduler.evacuate(ms(5_000));
+    let later = scheduler.plan_relocations(ms(5_000));
 
     expect_that!(later.len(), eq(1));
 }
@@ -135,7 +135,7 @@
     scheduler.adopt(request(1, 3_000, 100), "e0", 90, ms(1));
     scheduler.endpoint_leaving("e0", true);
 
-    expect_that!(scheduler.evacuate(ms(2)), len(eq(0)));
+    expect_that!(scheduler.plan_relocations(ms(2)), len(eq(0)));
 }
 
 #[gtest]
@@ -143,7 +143,7 @@
     let mut scheduler = with_runs(&["a", "b", "a"], &[3_000]);
     scheduler.endpoint_leaving("e0", true);
 
-    let moves = scheduler.evacuate(ms(2));
+    let moves = scheduler.plan_relocations(ms(2));
 
     expect_that!(&*moves[0].to, eq("e2"));
 }
@@ -154,7 +154,7 @@
     scheduler.endpoint_leaving("e0", true);
     scheduler.endpoint_leaving("e1", true);
 
-    expect_that!(scheduler.evacuate(ms(2)), len(eq(0)));
+    expect_that!(scheduler.plan_relocations(ms(2)), len(eq(0)));
 }
 
 proptest! {
@@ -177,7 +177,7 @@
                 0 | 1 => {
                     number += 1;
                     let req = request(number, 500 + pick * 700, 1_000);
-                    let _ = scheduler.arrive(req, ms(now));
+                    let _ = scheduler.enqueue(req, ms(now));
                 }
                 2 => {
                     let name = format!("e{}", pick % 4);
@@ -195,7 +195,7 @@
                 _ => {
                     if let Some((ticket, relocation)) = moving.pop_first() {
                         let end = if flag { &relocation.to } else { &relocation.from };
-                        scheduler.moved(ticket, end, flag, ms(now));
+                        scheduler.on_relocated(ticket, end, flag, ms(now));
                         at.insert(ticket, end.clone());
                     }
                 }
@@ -206,7 +206,7 @@
                     at.insert(ticket, endpoint);
                 }
             }
-            for relocation in scheduler.evacuate(ms(now)) {
+            for relocation in scheduler.plan_relocations(ms(now)) {
                 prop_assert!(leaving.contains(&*relocation.from));
                 prop_assert!(!leaving.contains(&*relocation.to));
                 prop_assert_eq!(at.get(&relocation.ticket), Some(&relocation.from));
--- a/crates/core/src/placement/giving_up.rs
+++ b/crates/core/src/placement/giving_up.rs
@@ -63,7 +63,7 @@
         let names = self.targets.get(target).map_or(&[][..], |target| &target.endpoints);
         let states = names.iter().filter_map(|name| self.endpoints.get(name));
         let mut staying = states.filter(|state| state.health != Health::Leaving).peekable();
-        staying.peek().is_some() && staying.all(EndpointState::is_out)
+        staying.peek().is_some() && staying.all(EndpointState::is_out_of_service)
     }
 
     /// The error for a request whose target no endpoint serves now.
--- a/crates/core/src/placement/hall_tests.rs
+++ b/crates/core/src/placement/hall_tests.rs
@@ -25,10 +25,10 @@
 #[gtest]
 fn nothing_is_placed_in_a_hall_that_is_out() {
     let mut scheduler = scheduler(&["a", "b"], 34_000);
-    scheduler.take_halls_out(&halls_out(1, &["a"]));
+    scheduler.set_halls_out(&halls_out(1, &["a"]));
 
     for number in 0..6 {
-        scheduler.arrive(request(number, 500, 100), ms(1)).unwrap();
+        scheduler.enqueue(request(number, 500, 100), ms(1)).unwrap();
     }
     let placed = placed(&mut scheduler, 1);
 
@@ -39,11 +39,11 @@
 #[gtest]
 fn a_hall_that_is_back_takes_work_again() {
     let mut scheduler = scheduler(&["a"], 34_000);
-    scheduler.take_halls_out(&halls_out(1, &["a"]));
-    let while_out = scheduler.arrive(request(1, 500, 100), ms(1));
+    scheduler.set_halls_out(&halls_out(1, &["a"]));
+    let while_out = scheduler.enqueue(request(1, 500, 100), ms(1));
 
-    scheduler.take_halls_out(&halls_out(2, &[]));
-    scheduler.arrive(request(2, 500, 100), ms(2)).unwrap();
+    scheduler.set_halls_out(&halls_out(2, &[]));
+    scheduler.enqueue(request(2, 500, 100), ms(2)).unwrap();
 
     expect_that!(while_out.unwrap_err().kind, eq(ErrorKind::OutOfService));
     expect_that!(placed(&mut scheduler, 2), elements_are![eq(&(2, "e0".to_owned()))]);
@@ -53,13 +53,13 @@
 fn what_waits_is_given_up_at_once_when_its_last_hall_is_taken_out() {
     let mut scheduler = scheduler(&["a", "b"], 3_000);
     for number in 0..5 {
-        scheduler.arrive(request(number, 2_000, 500), ms(1)).unwrap();
+        scheduler.enqueue(request(number, 2_000, 500), ms(1)).unwrap();
     }
     let running = placed(&mut scheduler, 1).len();
-    scheduler.take_halls_out(&halls_out(1, &["a"]));
+    scheduler.set_halls_out(&halls_out(1, &["a"]));
     let with_one_left = scheduler.decide(ms(2)).len();
 
-    scheduler.take_halls_out(&halls_out(2, &["a", "b"]));
+    scheduler.set_halls_out(&halls_out(2, &["a", "b"]));
     let given_up = scheduler.decide(ms(3));
 
     expect_that!(running, eq(2));
@@ -75,10 +75,10 @@
 fn an_endpoint_that_leaves_a_hall_that_is_out_is_emptied_into_another_hall() {
     let mut scheduler = scheduler(&["a", "a", "b"], 34_000);
     scheduler.adopt(request(1, 1_000, 2_000), "e0", 8, ms(1));
-    scheduler.take_halls_out(&halls_out(1, &["a"]));
+    scheduler.set_halls_out(&halls_out(1, &["a"]));
     scheduler.endpoint_leaving("e0", true);
 
-    let moves = scheduler.evacuate(ms(2));
+    let moves = scheduler.plan_relocations(ms(2));
 
     expect_that!(moves.len(), eq(1));
     expect_that!(&*moves[0].to, eq("e2"));
@@ -87,12 +87,12 @@
 #[gtest]
 fn engines_that_are_new_in_a_hall_that_is_out_get_nothing() {
     let mut scheduler = scheduler(&["a"], 34_000);
-    scheduler.take_halls_out(&halls_out(1, &["b"]));
+    scheduler.set_halls_out(&halls_out(1, &["b"]));
 
     scheduler.configure(&super::fixture::engines(&["a", "b"], 34_000));
-    scheduler.take_halls_out(&halls_out(1, &["b"]));
+    scheduler.set_halls_out(&halls_out(1, &["b"]));
     for number in 0..4 {
-        scheduler.arrive(request(number, 500, 100), ms(1)).unwrap();
+        scheduler.enqueue(request(number, 500, 100), ms(1)).unwrap();
     }
     let placed = placed(&mut scheduler, 1);
 
@@ -103,9 +103,9 @@
 fn a_daemon_alone_draws_nothing_in_a_hall_that_is_out() {
     let mut scheduler = Scheduler::local(Disabled::default(), 3);
     scheduler.configure(&super::fixture::engines(&["a", "b", "a"], 34_000));
-    scheduler.take_halls_out(&halls_out(1, &["a"]));
+    scheduler.set_halls_out(&halls_out(1, &["a"]));
 
-    scheduler.arrive(request(1, 500, 100), ms(1)).unwrap();
+    scheduler.enqueue(request(1, 500, 100), ms(1)).unwrap();
     scheduler.decide(ms(1));
     let drawn = scheduler.sampled_endpoints(Ticket { entry: 1, number: 1 }, ms(1));
 
@@ -128,16 +128,16 @@
         for (at, (step, n, size)) in (0u64..).zip(steps) {
             let now = ms(at * 50);
             match step {
-                0 | 1 => drop(scheduler.arrive(request(at, size, 2_000), now)),
+                0 | 1 => drop(scheduler.enqueue(request(at, size, 2_000), now)),
                 2 if out.contains(&halls[n]) => out.retain(|hall| *hall != halls[n]),
                 2 => out.push(halls[n]),
                 3 => scheduler.endpoint_leaving(&format!("e{n}"), size % 2 == 0),
                 _ => scheduler.progress(Ticket { entry: 1, number: at / 2 }, 1, now),
             }
-            scheduler.take_halls_out(&halls_out(at, &out));
-            for relocation in scheduler.evacuate(now) {
+            scheduler.set_halls_out(&halls_out(at, &out));
+            for relocation in scheduler.plan_relocations(now) {
                 prop_assert!(!out.contains(&hall_of(&relocation.to)));
-                scheduler.moved(relocation.ticket, &relocation.to, true, now);
+                scheduler.on_relocated(relocation.ticket, &relocation.to, true, now);
             }
             for (_, endpoint) in placed(&mut scheduler, at * 50) {
                 prop_assert!(!out.contains(&hall_of(&endpoint)));
--- a/crates/core/src/placement/handover_tests.rs
+++ b/crates/core/src/placement/handover_tests.rs
@@ -32,10 +32,10 @@
     for number in 200..206 {
         let ttft_target = chat(number).ttft_target;
         let req = Request { kind: "short".into(), ttft_target, ..request(number, 2_500, 12) };
-        scheduler.arrive(req, ms(number * 2)).unwrap();
+        scheduler.enqueue(req, ms(number * 2)).unwrap();
         scheduler.decide(ms(number * 2));
     }
-    scheduler.arrive(chat(1), ms(450)).unwrap();
+    scheduler.enqueue(chat(1), ms(450)).unwrap();
     scheduler.decide(ms(450));
     for number in 1..halls.len() {
         let name = format!("e{number}");
@@ -49,10 +49,10 @@
 #[gtest]
 fn a_chat_goes_on_where_less_is_read_after_its_first_token() {
     let mut scheduler = read_at_first(&["h", "h"]);
-    let before = scheduler.evacuate(ms(900));
+    let before = scheduler.plan_relocations(ms(900));
     scheduler.progress(CHAT, 4, ms(1_000));
 
-    let after = scheduler.evacuate(ms(1_001));
+    let after = scheduler.plan_relocations(ms(1_001));
 
     expect_that!(before, len(eq(0)));
     expect_that!(after.len(), eq(1));
@@ -64,7 +64,7 @@
     let mut scheduler = read_at_first(&["h", "h"]);
     scheduler.progress(Ticket { entry: 1, number: 200 }, 4, ms(1_000));
 
-    expect_that!(scheduler.evacuate(ms(1_001)), len(eq(0)));
+    expect_that!(scheduler.plan_relocations(ms(1_001)), len(eq(0)));
 }
 
 #[gtest]
@@ -72,7 +72,7 @@
     let mut scheduler = read_at_first(&["h", "far"]);
     scheduler.progress(CHAT, 4, ms(1_000));
 
-    expect_that!(scheduler.evacuate(ms(1_001)), len(eq(0)));
+    expect_that!(scheduler.plan_relocations(ms(1_001)), len(eq(0)));
 }
 
 #[gtest]
@@ -80,7 +80,7 @@
     let mut scheduler = scheduler(&["h", "h"], 200_000);
     scheduler.adopt(chat(1), "e0", 100, ms(1));
 
-    expect_that!(scheduler.evacuate(ms(2)), len(eq(0)));
+    expect_that!(scheduler.plan_relocations(ms(2)), len(eq(0)));
 }
 
 #[gtest]
@@ -90,7 +90,7 @@
     scheduler.endpoint_leaving("e2", true);
     scheduler.progress(CHAT, 4, ms(1_000));
 
-    let moves = scheduler.evacuate(ms(1_001));
+    let moves = scheduler.plan_relocations(ms(1_001));
 
     expect_that!(&*moves[0].from, eq("e2"));
     expect_that!(moves.iter().filter(|m| m.to == moves[0].to).count(), eq(1));
@@ -101,13 +101,13 @@
     let mut scheduler = read_at_first(&["h", "h", "h"]);
     scheduler.adopt(chat(2), "e2", 50, ms(900));
     scheduler.endpoint_leaving("e2", true);
-    scheduler.evacuate(ms(999));
+    scheduler.plan_relocations(ms(999));
     scheduler.progress(CHAT, 4, ms(1_000));
 
-    let meanwhile = scheduler.evacuate(ms(1_001));
-    let given_up = scheduler.evacuate(ms(1_450));
-    scheduler.moved(Ticket { entry: 1, number: 2 }, "e1", true, ms(1_460));
-    let later = scheduler.evacuate(ms(1_470));
+    let meanwhile = scheduler.plan_relocations(ms(1_001));
+    let given_up = scheduler.plan_relocations(ms(1_450));
+    scheduler.on_relocated(Ticket { entry: 1, number: 2 }, "e1", true, ms(1_460));
+    let later = scheduler.plan_relocations(ms(1_470));
 
     expect_that!(meanwhile, len(eq(0)));
     expect_that!(given_up, len(eq(0)));
@@ -132,7 +132,7 @@
             match step {
                 0 | 1 => {
                     let most = if flag { 12 } else { 2_000 };
-                    let _ = scheduler.arrive(request(n as u64, 1_000 + pick * 300, most), now);
+                    let _ = scheduler.enqueue(request(n as u64, 1_000 + pick * 300, most), now);
                 }
                 2 => {
                     let name = format!("e{}", pick % 4);
@@ -153,7 +153,7 @@
                 }
                 _ => {
                     if let Some(Relocation { ticket, from, to }) = moving.pop() {
-                        scheduler.moved(ticket, if flag { &to } else { &from }, flag, now);
+                        scheduler.on_relocated(ticket, if flag { &to } else { &from }, flag, now);
                     }
                 }
             }
@@ -163,7 +163,7 @@
                     Action::GiveUp { .. } => {}
                 }
             }
-            for relocation in scheduler.evacuate(now) {
+            for relocation in scheduler.plan_relocations(now) {
                 prop_assert!(!leaving.contains(&*relocation.to));
                 let used: Vec<_> = moving.iter().flat_map(|m| [&m.from, &m.to]).collect();
                 prop_assert!(!used.contains(&&relocation.from));
--- a/crates/core/src/placement/in_time_tests.rs
+++ b/crates/core/src/placement/in_time_tests.rs
@@ -46,7 +46,7 @@
 #[gtest]
 fn a_request_waits_until_its_first_token_would_come_in_time() {
     let mut scheduler = reading(&[3, 4]);
-    scheduler.arrive(reads_for(1, 200), ms(0)).unwrap();
+    scheduler.enqueue(reads_for(1, 200), ms(0)).unwrap();
 
     let at_once = starts(&mut scheduler, ms(0));
     scheduler.progress(Ticket { entry: 1, number: 1_001 }, 1, ms(150));
@@ -59,13 +59,13 @@
 #[gtest]
 fn time_that_a_request_has_waited_is_no_longer_left_for_reading() {
     let mut scheduler = reading(&[4]);
-    scheduler.arrive(reads_for(1, 200), ms(0)).unwrap();
+    scheduler.enqueue(reads_for(1, 200), ms(0)).unwrap();
     starts(&mut scheduler, ms(0));
 
     scheduler.progress(Ticket { entry: 1, number: 1_001 }, 1, ms(300));
     scheduler.progress(Ticket { entry: 1, number: 1_002 }, 1, ms(600));
     let of_three = starts(&mut scheduler, ms(610));
-    scheduler.arrive(Request { rank: 0, ..reads_for(2, 200) }, ms(610)).unwrap();
+    scheduler.enqueue(Request { rank: 0, ..reads_for(2, 200) }, ms(610)).unwrap();
     let of_new = starts(&mut scheduler, ms(611));
 
     expect_that!(of_three, is_empty());
@@ -76,7 +76,7 @@
 fn a_request_that_comes_late_wherever_it_goes_does_not_wait() {
     let mut scheduler = reading(&[2]);
     let max_wait = Duration::from_millis(500);
-    scheduler.arrive(Request { max_wait, ..reads_for(1, 1_500) }, ms(0)).unwrap();
+    scheduler.enqueue(Request { max_wait, ..reads_for(1, 1_500) }, ms(0)).unwrap();
 
     expect_that!(starts(&mut scheduler, ms(0)), len(eq(1)));
 }
@@ -85,7 +85,7 @@
 fn a_crowd_of_prompts_goes_as_far_as_it_is_read_in_time() {
     let mut scheduler = scheduler(&["h"], 10_000_000);
     for number in 0..100 {
-        scheduler.arrive(request(number, 100, 100), ms(0)).unwrap();
+        scheduler.enqueue(request(number, 100, 100), ms(0)).unwrap();
     }
 
     let sent = starts(&mut scheduler, ms(0)).len();
@@ -113,7 +113,7 @@
             let (_, size) = coming.pop_front().unwrap();
             number += 1;
             arrived.insert(number, (now, size));
-            let _ = scheduler.arrive(reads_for(number, size), ms(now));
+            let _ = scheduler.enqueue(reads_for(number, size), ms(now));
         }
         for prompts in &mut unread {
             let Some((number, left)) = prompts.front_mut() else { continue };
--- a/crates/core/src/placement/pace_tests.rs
+++ b/crates/core/src/placement/pace_tests.rs
@@ -37,7 +37,7 @@
 
 /// Where a new request is placed.
 fn placed(scheduler: &mut Scheduler, number: u64, now: Instant) -> String {
-    scheduler.arrive(request(number), now).unwrap();
+    scheduler.enqueue(request(number), now).unwrap();
     match &scheduler.decide(now)[..] {
         [Action::Start { endpoint, .. }] => endpoint.to_string(),
         other => panic!("one start was expected: {other:?}"),
--- a/crates/core/src/placement/reading_tests.rs
+++ b/crates/core/src/placement/reading_tests.rs
@@ -42,7 +42,7 @@
 
 /// Where a request is placed.
 fn placed(scheduler: &mut Scheduler, req: Request, now: Instant) -> String {
-    scheduler.arrive(req, now).unwrap();
+    scheduler.enqueue(req, now).unwrap();
     match &scheduler.decide(now)[..] {
         [Action::Start { endpoint, .. }] => endpoint.to_string(),
         other => panic!("one start was expected: {other:?}"),
@@ -160,7 +160,11 @@
         scheduler.finish(Ticket { entry: 1, number }, 100 + number * 5, true, ms(1));
     }
     let chance = |seconds| {
-        scheduler.chance_to_end(&request(1_000, 700, 2_000), Duration::from_secs(seconds), ms(2))
+        scheduler.completion_probability(
+            &request(1_000, 700, 2_000),
+            Duration::from_secs(seconds),
+            ms(2),
+        )
     };
 
     expect_that!(chance(1), lt(0.1));
--- a/crates/core/src/placement/running.rs
+++ b/crates/core/src/placement/running.rs
@@ -33,7 +33,12 @@
     }
 
     /// The chance that an answer to this request would end within this time.
-    pub(crate) fn chance_to_end(&self, req: &Request, within: Duration, now: Instant) -> f64 {
+    pub(crate) fn completion_probability(
+        &self,
+        req: &Request,
+        within: Duration,
+        now: Instant,
+    ) -> f64 {
         let making = within.saturating_sub(prefill_time(req.prompt_tokens)).as_secs_f64();
         let paces = self.endpoints.values().filter_map(|endpoint| endpoint.pace.per_token(now));
         let slowest = paces.max_by(f64::total_cmp).unwrap_or(pace::USUAL);
--- a/crates/core/src/placement/scheduler.rs
+++ b/crates/core/src/placement/scheduler.rs
@@ -230,7 +230,7 @@
 
     /// Takes a new request; it waits until [`Scheduler::decide`] places it. One that is known
     /// is not taken again: a daemon tells what waits whenever it finds the scheduler anew.
-    pub fn arrive(&mut self, req: Request, now: Instant) -> Result<(), RequestError> {
+    pub fn enqueue(&mut self, req: Request, now: Instant) -> Result<(), RequestError> {
         if self.queued.contains_key(&req.ticket) || self.placed.contains_key(&req.ticket) {
             return Ok(());
         }
@@ -307,7 +307,7 @@
         self.expiries.first().map(|expiry| expiry.at)
     }
 
-    /// When [`Scheduler::decide`] and [`Scheduler::evacuate`] must be called even without
+    /// When [`Scheduler::decide`] and [`Scheduler::plan_relocations`] must be called even without
     /// other input.
     pub fn next_decision(&self) -> Option<Instant> {
         let next = self.next_expiry().into_iter().chain(self.next_evacuation());
--- a/crates/core/src/placement/tests.rs
+++ b/crates/core/src/placement/tests.rs
@@ -55,11 +55,11 @@
 #[gtest]
 fn a_lower_rank_is_served_first_and_workspaces_take_turns_by_tokens_served() {
     let mut scheduler = scheduler(1, 1, 100_000);
-    scheduler.arrive(request(0, "big", 2), START).unwrap();
+    scheduler.enqueue(request(0, "big", 2), START).unwrap();
     assert_that!(started(&scheduler.decide(START)), elements_are![eq(&0)]);
     for (number, workspace, rank) in [(1, "big", 2), (2, "big", 2), (3, "small", 2), (4, "vip", 1)]
     {
-        scheduler.arrive(request(number, workspace, rank), START).unwrap();
+        scheduler.enqueue(request(number, workspace, rank), START).unwrap();
     }
     let mut order = Vec::new();
     for number in [0, 4, 3, 1] {
@@ -73,8 +73,8 @@
 #[gtest]
 fn a_request_that_waited_too_long_is_given_up_at_once_with_a_time_to_come_back() {
     let mut scheduler = scheduler(1, 1, 100_000);
-    scheduler.arrive(request(0, "w", 1), START).unwrap();
-    scheduler.arrive(request(1, "w", 1), START).unwrap();
+    scheduler.enqueue(request(0, "w", 1), START).unwrap();
+    scheduler.enqueue(request(1, "w", 1), START).unwrap();
     scheduler.decide(START);
     let expiry = scheduler.next_expiry().unwrap();
 
@@ -92,7 +92,7 @@
     let mut scheduler = scheduler(1, 10, 100_000);
     scheduler.endpoint_leaving("e0", true);
 
-    let refused = scheduler.arrive(request(0, "w", 1), START);
+    let refused = scheduler.enqueue(request(0, "w", 1), START);
 
     expect_that!(refused.unwrap_err().kind, eq(ErrorKind::NoEndpoint));
 }
@@ -101,7 +101,7 @@
 fn the_forecast_holds_back_what_memory_would_not_hold() {
     let mut scheduler = scheduler(1, 1000, 1000);
     for number in 0..200 {
-        scheduler.arrive(request(number, "w", 1), START).unwrap();
+        scheduler.enqueue(request(number, "w", 1), START).unwrap();
     }
 
     let running = started(&scheduler.decide(START)).len();
@@ -113,7 +113,7 @@
 #[gtest]
 fn a_lagged_report_is_corrected_by_later_grants() {
     let mut scheduler = scheduler(1, 4, 100_000);
-    scheduler.arrive(request(0, "w", 1), Instant(10)).unwrap();
+    scheduler.enqueue(request(0, "w", 1), Instant(10)).unwrap();
     scheduler.decide(Instant(10));
 
     let report = LoadReport { at: Instant(5), running: 3, waiting: 0, kv_used: 0 };
@@ -128,7 +128,7 @@
 fn cancelling_everything_leaves_nothing_accounted() {
     let mut scheduler = scheduler(2, 3, 100_000);
     for number in 0..20 {
-        scheduler.arrive(request(number, "w", 1), START).unwrap();
+        scheduler.enqueue(request(number, "w", 1), START).unwrap();
     }
     scheduler.decide(START);
 
@@ -143,15 +143,15 @@
     let mut scheduler = scheduler(1, 1, 100_000);
     let later = Instant(3_600_000_000);
     for (number, now) in [(0, START), (1, later)] {
-        scheduler.arrive(request(number, "w", 1), now).unwrap();
+        scheduler.enqueue(request(number, "w", 1), now).unwrap();
         scheduler.decide(now);
         scheduler.finish(Ticket { entry: 1, number }, 5, true, now);
     }
-    scheduler.arrive(request(2, "w", 1), later).unwrap();
+    scheduler.enqueue(request(2, "w", 1), later).unwrap();
     scheduler.decide(later);
-    scheduler.arrive(request(3, "w", 1), later).unwrap();
+    scheduler.enqueue(request(3, "w", 1), later).unwrap();
 
-    expect_that!(scheduler.arrive(request(4, "w", 1), later), ok(anything()));
+    expect_that!(scheduler.enqueue(request(4, "w", 1), later), ok(anything()));
 }
 
 #[gtest]
@@ -159,14 +159,14 @@
     let mut scheduler = scheduler(1, 100, 1_000_000);
     let limited = |number| Request { max_running: 2, max_waiting: 2, ..request(number, "w", 1) };
     for number in 0..2 {
-        scheduler.arrive(limited(number), START).unwrap();
+        scheduler.enqueue(limited(number), START).unwrap();
         scheduler.decide(START);
     }
     for number in 2..4 {
-        scheduler.arrive(limited(number), START).unwrap();
+        scheduler.enqueue(limited(number), START).unwrap();
     }
-    let refused = scheduler.arrive(limited(4), START).unwrap_err();
-    scheduler.arrive(request(5, "other", 1), START).unwrap();
+    let refused = scheduler.enqueue(limited(4), START).unwrap_err();
+    scheduler.enqueue(request(5, "other", 1), START).unwrap();
 
     expect_that!(refused.kind, eq(ErrorKind::WorkspaceLimit));
     expect_that!(started(&scheduler.decide(START)), elements_are![eq(&5)]);
@@ -179,7 +179,7 @@
     let mut scheduler = scheduler(1, 1, 100_000);
     for number in [0, 0, 1, 1] {
         let limited = Request { max_waiting: 1, ..request(number, "w", 1) };
-        expect_that!(scheduler.arrive(limited, START), ok(anything()), "{number}");
+        expect_that!(scheduler.enqueue(limited, START), ok(anything()), "{number}");
         scheduler.decide(START);
     }
 
@@ -196,11 +196,11 @@
     let mut scheduler = scheduler(1, 100, 1_000_000);
     let limited = |number, rank| Request { max_running: 2, ..request(number, "w", rank) };
     for (number, rank) in [(0, 1), (1, 2)] {
-        scheduler.arrive(limited(number, rank), START).unwrap();
+        scheduler.enqueue(limited(number, rank), START).unwrap();
         scheduler.decide(START);
     }
     for (number, rank) in [(2, 1), (3, 2)] {
-        scheduler.arrive(limited(number, rank), START).unwrap();
+        scheduler.enqueue(limited(number, rank), START).unwrap();
     }
 
     expect_that!(started(&scheduler.decide(START)).len(), eq(0));
@@ -237,7 +237,7 @@
     }
     scheduler.endpoint_failed("e0", fixture::ms(1));
     scheduler.endpoint_leaving("e0", true);
-    let moving = scheduler.evacuate(fixture::ms(2)).len();
+    let moving = scheduler.plan_relocations(fixture::ms(2)).len();
 
     known.get_mut("e0").unwrap().born = 200;
     scheduler.configure(&known);
@@ -250,5 +250,5 @@
     expect_that!(state.takes_work(fixture::ms(2)), eq(true));
     // Only the one whose move was on its way is still accounted for, where it goes on.
     expect_that!(scheduler.running(), eq(1));
-    expect_that!(scheduler.evacuate(fixture::ms(3)), is_empty());
+    expect_that!(scheduler.plan_relocations(fixture::ms(3)), is_empty());
 }
--- a/crates/lab/src/experiment/cost.rs
+++ b/crates/lab/src/experiment/cost.rs
@@ -71,7 +71,7 @@
         avoid: Vec::new(),
         isolated: false,
     };
-    scheduler.arrive(req, now).expect("there is room");
+    scheduler.enqueue(req, now).expect("there is room");
     let actions = scheduler.decide(now);
     assert!(matches!(actions[..], [Action::Start { .. }]), "there is room: {actions:?}");
 }
--- a/crates/lab/src/experiment/sim.rs
+++ b/crates/lab/src/experiment/sim.rs
@@ -188,7 +188,7 @@
             avoid: Vec::new(),
             isolated: false,
         };
-        if self.scheduler.arrive(req, Instant(self.now)).is_err() {
+        if self.scheduler.enqueue(req, Instant(self.now)).is_err() {
             self.give_up(i);
             return;
         }
--- a/crates/lab/src/fleet/deciders.rs
+++ b/crates/lab/src/fleet/deciders.rs
@@ -140,7 +140,7 @@
     /// Asks the scheduler for a place; fails if it takes the request for hopeless.
     pub(super) fn ask(&mut self, i: usize, arrival: &Arrival, now: Instant) -> Result<(), ()> {
         let scheduler = self.scheduler.as_mut().ok_or(())?;
-        scheduler.arrive(request(i, arrival, now), now).map_err(|_| ())
+        scheduler.enqueue(request(i, arrival, now), now).map_err(|_| ())
     }
 
     /// What the scheduler grants and gives up now.
@@ -152,9 +152,9 @@
     /// The moves to begin now.
     pub(super) fn moves(&mut self, now: Instant) -> Vec<Relocation> {
         match &mut self.scheduler {
-            Some(scheduler) if self.open_at <= now => scheduler.evacuate(now),
+            Some(scheduler) if self.open_at <= now => scheduler.plan_relocations(now),
             Some(_) => Vec::new(),
-            None => self.own.iter_mut().flat_map(|own| own.evacuate(now)).collect(),
+            None => self.own.iter_mut().flat_map(|own| own.plan_relocations(now)).collect(),
         }
     }
 
@@ -166,7 +166,7 @@
         now: Instant,
     ) -> Option<Grant> {
         let own = &mut self.own[arrival.entry];
-        own.arrive(request(i, arrival, now), now).ok()?;
+        own.enqueue(request(i, arrival, now), now).ok()?;
         let ticket = ticket(i, arrival);
         for action in own.decide(now) {
             match action {
@@ -189,7 +189,7 @@
         engine: &str,
         now: Instant,
     ) {
-        self.own[arrival.entry].moved(ticket(i, arrival), engine, true, now);
+        self.own[arrival.entry].on_relocated(ticket(i, arrival), engine, true, now);
     }
 
     /// Notes that a request found no place by itself.
@@ -229,7 +229,7 @@
     ) {
         let own = &mut self.own[arrival.entry];
         for scheduler in self.scheduler.iter_mut().chain([own]) {
-            scheduler.moved(ticket(i, arrival), engine, done, now);
+            scheduler.on_relocated(ticket(i, arrival), engine, done, now);
         }
     }
 
