--- a/crates/core/src/node/control/answers.rs
+++ b/crates/core/src/node/control/answers.rs
@@ -48,7 +48,7 @@
             hash: Bytes::copy_from_slice(&self.state.hash().0),
             term: self.replica.term(),
             daemons: self.live_daemons(now).len() as u64,
-            taking: entries.taking,
+            taking: entries.accepting,
             stopping: entries.stopping,
             slow: slow.unwrap_or_default(),
             halls: Some(self.state.halls_out().clone()),
--- a/crates/core/src/node/control/mod.rs
+++ b/crates/core/src/node/control/mod.rs
@@ -13,7 +13,7 @@
 use super::{
     ByVm, Clocks, NodeOptions, Outbox, VmName,
     changes::Changes,
-    control_client::Entries,
+    control_client::EntryDaemons,
     dispatcher::Dispatcher,
     engines::Engines,
     members::{self, Peer},
@@ -320,12 +320,12 @@
     }
 
     /// The live daemons that callers are sent to.
-    fn entries(&self, now: Instant) -> Entries {
-        let mut entries = Entries::default();
+    fn entries(&self, now: Instant) -> EntryDaemons {
+        let mut entries = EntryDaemons::default();
         let sent_to = |daemon: &&Daemon| daemon.takes_callers && daemon.is_live(now);
         for daemon in self.daemons.values().filter(sent_to) {
             match daemon.stopping_since {
-                None => entries.taking += 1,
+                None => entries.accepting += 1,
                 Some(since) if now.since(since) < STILL_SENT_TO => entries.stopping += 1,
                 Some(_) => {}
             }
--- a/crates/core/src/node/control_client/mod.rs
+++ b/crates/core/src/node/control_client/mod.rs
@@ -44,14 +44,14 @@
     /// Number of daemons that share the endpoints.
     pub(crate) daemons: u64,
     /// Those that callers are sent to.
-    pub(crate) entries: Entries,
+    pub(crate) entries: EntryDaemons,
 }
 
 /// Daemons that callers are sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Entries {
+pub struct EntryDaemons {
     /// Those that go on.
-    pub taking: u64,
+    pub accepting: u64,
     /// Those that stop, while callers are still sent to them.
     pub stopping: u64,
 }
@@ -283,7 +283,7 @@
             vm: from.clone(),
             term: reply.term,
             daemons: reply.daemons.max(1),
-            entries: Entries { taking: reply.taking, stopping: reply.stopping },
+            entries: EntryDaemons { accepting: reply.taking, stopping: reply.stopping },
         };
         self.set_leader(Some(leader));
         let hash = ContentHash::from_slice(&reply.hash).unwrap_or_default();
@@ -346,7 +346,8 @@
             self.fresh = fresh;
             self.told_confirmed = self.confirmed;
             let daemons = self.leader.as_ref().map_or(0, |leader| leader.daemons);
-            let entries = self.leader.as_ref().map_or(Entries::default(), |leader| leader.entries);
+            let entries =
+                self.leader.as_ref().map_or(EntryDaemons::default(), |leader| leader.entries);
             out.push(Output::Fresh { fresh, confirmed: self.confirmed, daemons, entries });
         }
     }
--- a/crates/core/src/node/endpoint_tests.rs
+++ b/crates/core/src/node/endpoint_tests.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 
-use super::{Clocks, Entries, Input, Node, NodeOptions, NodeTiming, Output, VmName};
+use super::{Clocks, EntryDaemons, Input, Node, NodeOptions, NodeTiming, Output, VmName};
 use crate::{
     config::Document,
     mechanism::Disabled,
@@ -225,14 +225,14 @@
 }
 
 /// What the leader answers when daemons have polled it.
-fn entries_after(node: &mut Node, polls: &[(&str, bool, u64)]) -> Option<Entries> {
+fn entries_after(node: &mut Node, polls: &[(&str, bool, u64)]) -> Option<EntryDaemons> {
     let mut last = None;
     for (vm, stopping, at) in polls {
         let poll = Poll { nonce: 1, takes_callers: true, stopping: *stopping, ..Poll::default() };
         let outputs = node.handle(Input::Message((*vm).into(), Body::Poll(poll)), clocks(*at));
         last = outputs.iter().find_map(|output| match output {
             Output::Send(to, Body::PollReply(reply)) if **to == **vm => {
-                Some(Entries { taking: reply.taking, stopping: reply.stopping })
+                Some(EntryDaemons { accepting: reply.taking, stopping: reply.stopping })
             }
             _ => None,
         });
@@ -270,9 +270,9 @@
     let one_stops = entries_after(&mut node, &[("a", true, 3_100), ("b", false, 3_101)]);
     let long_stopping = entries_after(&mut node, &[("a", true, 5_900), ("b", false, 5_901)]);
 
-    expect_that!(all, some(eq(Entries { taking: 2, stopping: 0 })));
-    expect_that!(one_stops, some(eq(Entries { taking: 1, stopping: 1 })));
-    expect_that!(long_stopping, some(eq(Entries { taking: 1, stopping: 0 })));
+    expect_that!(all, some(eq(EntryDaemons { accepting: 2, stopping: 0 })));
+    expect_that!(one_stops, some(eq(EntryDaemons { accepting: 1, stopping: 1 })));
+    expect_that!(long_stopping, some(eq(EntryDaemons { accepting: 1, stopping: 0 })));
 }
 
 /// A daemon that has a configuration with the service `s` in force.
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 
 use super::{
-    ActiveConfig, ControlStatus, EndpointStatus, Entries, FailedAttempt, TrialAnswer, VmName,
+    ActiveConfig, ControlStatus, EndpointStatus, EntryDaemons, FailedAttempt, TrialAnswer, VmName,
 };
 use crate::{
     agreement::Persist,
@@ -324,7 +324,7 @@
         /// Number of daemons that the leader hears.
         daemons: u64,
         /// Those that callers are sent to, as the leader knows them.
-        entries: Entries,
+        entries: EntryDaemons,
     },
     /// Ask these endpoints for their load from now on.
     Watch(Vec<String>),
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -89,7 +89,7 @@
 pub use self::{
     config_store::ActiveConfig,
     control::{ControlStatus, DaemonStatus, ReplicaStatus},
-    control_client::Entries,
+    control_client::EntryDaemons,
     endpoints::EndpointStatus,
     failed_attempt::{FailedAttempt, ProbeOutcome},
     messages::{CallId, Input, NodeCall, NodeReply, Output, Placement, SentChange, SubmitError},
--- a/crates/server/src/runtime/view.rs
+++ b/crates/server/src/runtime/view.rs
@@ -9,7 +9,7 @@
 
 use trayswitch_clock as clock;
 use trayswitch_core::{
-    node::{ActiveConfig, CallId, Entries},
+    node::{ActiveConfig, CallId, EntryDaemons},
     registry::Registered,
     units::Instant,
 };
@@ -25,7 +25,7 @@
     /// When the daemon will have ended, once a planned stop has begun.
     ends: Cell<Option<clock::Instant>>,
     daemons: Cell<u64>,
-    entries: Cell<Entries>,
+    entries: Cell<EntryDaemons>,
     calls: Cell<u64>,
 }
 
@@ -85,10 +85,10 @@
     /// The chance that a caller who is sent away from this stopping daemon comes to one that goes
     /// on, if callers are spread evenly; none while no leader has told.
     pub(crate) fn chance_elsewhere(&self) -> f64 {
-        let Entries { taking, stopping } = self.entries.get();
+        let EntryDaemons { accepting, stopping } = self.entries.get();
         // This daemon is one of those that stop.
-        let others = taking + stopping.saturating_sub(1);
-        if others == 0 { 0.0 } else { taking as f64 / others as f64 }
+        let others = accepting + stopping.saturating_sub(1);
+        if others == 0 { 0.0 } else { accepting as f64 / others as f64 }
     }
 
     /// Whether a planned stop has begun.
@@ -112,7 +112,7 @@
         CallId(last + 1)
     }
 
-    pub(super) fn set_daemons(&self, daemons: u64, entries: Entries) {
+    pub(super) fn set_daemons(&self, daemons: u64, entries: EntryDaemons) {
         if 0 < daemons {
             self.daemons.set(daemons);
             self.entries.set(entries);
