--- a/crates/core/src/node/broadcast.rs
+++ b/crates/core/src/node/broadcast.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
-use super::spread;
+use super::news_batch;
 use crate::units::Instant;
 
 /// Daemons are told no more often than this; an endpoint may say something else in each answer.
@@ -40,7 +40,7 @@
         let due = self.news.drain(..AT_ONCE.min(self.news.len())).collect();
         self.last_told = now;
         if !self.news.is_empty() {
-            let pause = spread::for_each(spread::PAUSE_FOR_A_DAEMON, daemons);
+            let pause = news_batch::scaled(news_batch::SEND_INTERVAL_PER_DAEMON, daemons);
             self.due = Some(now.after(pause.max(PAUSE)));
         }
         due
--- a/crates/core/src/node/control/suspects.rs
+++ b/crates/core/src/node/control/suspects.rs
@@ -3,7 +3,7 @@
 use super::ControlReplica;
 use crate::{
     agreement::Role,
-    node::{Clocks, Outbox, Output, VmName, spread},
+    node::{Clocks, Outbox, Output, VmName, news_batch},
     quarantine::{Asker, Change, Permission, RequestDigest, Standing, Trials},
     state::{AgeSuspects, Command, command},
     units::Instant,
@@ -48,7 +48,8 @@
             if let Some(suspect) = &change.changed {
                 out.push(Output::Suspect(suspect.clone()));
             }
-            let pause = spread::for_each(spread::PAUSE_FOR_A_DAEMON, self.daemons.len());
+            let pause =
+                news_batch::scaled(news_batch::SEND_INTERVAL_PER_DAEMON, self.daemons.len());
             let due = now.max(self.suspects.told.after(pause));
             self.suspects.tell.get_or_insert(due);
             self.tick_suspects(now, out);
--- a/crates/core/src/node/endpoints.rs
+++ b/crates/core/src/node/endpoints.rs
@@ -3,9 +3,10 @@
 
 use super::{
     Engines, Node, Output, VmName,
-    spread::{
-        Gathered, HEARTBEATS, PAUSE_FOR_A_DAEMON, PAUSE_FOR_AN_ENDPOINT, RELAY, RELAY_FOR_A_DAEMON,
-        REMEMBER, REMEMBER_FOR_AN_ENDPOINT, TELL_LEADER, TELL_LEADER_FOR_A_DAEMON, for_each,
+    news_batch::{
+        HEARTBEAT_DELAY, LEADER_DELAY, LEADER_DELAY_PER_DAEMON, NewsBatch,
+        PUBLISH_INTERVAL_PER_ENDPOINT, RELAY_DELAY, RELAY_DELAY_PER_DAEMON, SAVE_INTERVAL,
+        SAVE_INTERVAL_PER_ENDPOINT, SEND_INTERVAL_PER_DAEMON, scaled,
     },
 };
 use crate::{
@@ -48,7 +49,7 @@
         }
         match self.registry.take(record.clone(), now) {
             Some(new) => self.tell_all(new, now),
-            None => self.heartbeats.add(record, now.after(HEARTBEATS)),
+            None => self.heartbeats.add(record, now.after(HEARTBEAT_DELAY)),
         }
     }
 
@@ -97,16 +98,16 @@
         let ages = ages_ms.into_iter().chain(std::iter::repeat(0));
         for (record, age_ms) in records.into_iter().zip(ages) {
             if from_leader {
-                self.for_leader.drop_told(&record);
+                self.for_leader.remove_known(&record);
             }
             let heard = Instant(now.0.saturating_sub(age_ms.saturating_mul(1_000)));
             let Some(new) = self.registry.take_heard(record, heard, now) else { continue };
             if self.control.is_some() {
-                let pause = RELAY + for_each(RELAY_FOR_A_DAEMON, self.links.len());
+                let pause = RELAY_DELAY + scaled(RELAY_DELAY_PER_DAEMON, self.links.len());
                 self.relayed.add(new, now.after(pause));
             } else if !from_leader && part.is_none() {
                 let daemons = self.client.scheduler(now).map_or(0, |s| s.daemons as usize);
-                let pause = TELL_LEADER + for_each(TELL_LEADER_FOR_A_DAEMON, daemons);
+                let pause = LEADER_DELAY + scaled(LEADER_DELAY_PER_DAEMON, daemons);
                 self.for_leader.add(new, now.after(pause));
             }
         }
@@ -132,14 +133,14 @@
         let unknown = self.endpoint_sync.take_unknown_to(leader, || self.registry.digest());
         for part in unknown {
             for (record, _) in self.registry.part(part) {
-                self.for_leader.add(record.clone(), now.after(TELL_LEADER));
+                self.for_leader.add(record.clone(), now.after(LEADER_DELAY));
             }
         }
     }
 
     fn tell_all(&mut self, record: EndpointRecord, now: Instant) {
-        let pause = for_each(PAUSE_FOR_A_DAEMON, self.links.len());
-        self.own_news.add_soon(record, pause, now);
+        let pause = scaled(SEND_INTERVAL_PER_DAEMON, self.links.len());
+        self.own_news.add_rate_limited(record, pause, now);
     }
 
     /// Sends what was gathered and is due.
@@ -157,7 +158,7 @@
             }
         }
         let Some(leader) = self.client.leader() else {
-            return self.for_leader.postpone(now.after(TELL_LEADER));
+            return self.for_leader.postpone(now.after(LEADER_DELAY));
         };
         if let Some(news) = self.for_leader.take_due(now) {
             self.outputs.send(leader, Body::EndpointNews(news));
@@ -168,7 +169,7 @@
     pub(super) fn next_news(&self) -> Option<Instant> {
         let gathered = [&self.own_news, &self.relayed, &self.heartbeats, &self.for_leader];
         let hand_out = self.must_hand_out().then_some(self.next_hand_out);
-        let due = gathered.into_iter().filter_map(Gathered::due);
+        let due = gathered.into_iter().filter_map(NewsBatch::due);
         due.chain(hand_out).chain(self.next_remembering()).min()
     }
 
@@ -186,7 +187,7 @@
         }
         self.handed_out = self.registry.revision();
         let endpoints = self.registry.endpoints(self.client.halls_out());
-        self.next_hand_out = now.after(for_each(PAUSE_FOR_AN_ENDPOINT, endpoints.len()));
+        self.next_hand_out = now.after(scaled(PUBLISH_INTERVAL_PER_ENDPOINT, endpoints.len()));
         self.outputs.push(Output::Registered(endpoints));
         true
     }
@@ -207,7 +208,7 @@
         }
         self.remembered = self.registry.revision();
         let records: Vec<EndpointRecord> = self.registry.records().cloned().collect();
-        let pause = REMEMBER + for_each(REMEMBER_FOR_AN_ENDPOINT, records.len());
+        let pause = SAVE_INTERVAL + scaled(SAVE_INTERVAL_PER_ENDPOINT, records.len());
         self.next_remember = now.after(pause);
         self.outputs.push(Output::Remember(records));
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -39,6 +39,7 @@
 #[cfg(test)]
 mod members_tests;
 mod messages;
+mod news_batch;
 mod operations;
 #[cfg(test)]
 mod operations_tests;
@@ -47,7 +48,6 @@
 mod permit_client;
 mod placement_client;
 mod reads;
-mod spread;
 mod suspect_tracker;
 #[cfg(test)]
 mod suspect_tracker_tests;
@@ -66,10 +66,10 @@
     directory::Directory,
     endpoint_sync::EndpointSync,
     engines::Engines,
+    news_batch::NewsBatch,
     operations::Operations,
     permit_client::PermitClient,
     placement_client::PlacementClient,
-    spread::Gathered,
     suspect_tracker::{Context, SuspectTracker},
 };
 use crate::{
@@ -128,13 +128,13 @@
     /// It is not remembered again before this.
     next_remember: Instant,
     /// What endpoints have said here, for every daemon.
-    own_news: Gathered,
+    own_news: NewsBatch,
     /// What other control VMs have told, for every daemon.
-    relayed: Gathered,
+    relayed: NewsBatch,
     /// Heartbeats that say nothing new, for the other control VMs.
-    heartbeats: Gathered,
+    heartbeats: NewsBatch,
     /// What an entry has heard from others than the leader.
-    for_leader: Gathered,
+    for_leader: NewsBatch,
     /// When the registry is next searched for endpoints that are silent or long gone.
     next_search: Instant,
     disabled: Disabled,
@@ -160,10 +160,10 @@
             next_hand_out: Instant::default(),
             remembered: 0,
             next_remember: Instant::default(),
-            own_news: Gathered::default(),
-            relayed: Gathered::default(),
-            heartbeats: Gathered::default(),
-            for_leader: Gathered::default(),
+            own_news: NewsBatch::default(),
+            relayed: NewsBatch::default(),
+            heartbeats: NewsBatch::default(),
+            for_leader: NewsBatch::default(),
             next_search: Instant::default(),
             disabled: options.disabled,
         }
