--- a/crates/core/src/node/directory.rs
+++ b/crates/core/src/node/directory.rs
@@ -15,10 +15,10 @@
 };
 
 /// How often a control VM tells what it knows: a new control VM is found this fast.
-const TELL: Duration = Duration::from_millis(1_000);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// A control VM that nobody has named for this long is forgotten. Longer than a VM takes to
 /// come back, so that a restarted one is dialed at once.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
+const EXPIRE_AFTER: Duration = Duration::from_secs(30);
 
 /// The control VMs that this daemon knows.
 pub(crate) struct Directory {
@@ -26,10 +26,10 @@
     is_control: bool,
     /// VMs that the settings name; they are always dialed.
     seeds: Vec<VmName>,
-    named: BTreeMap<VmName, Instant>,
+    last_named: BTreeMap<VmName, Instant>,
     links: BTreeSet<VmName>,
     known: Vec<VmName>,
-    next_tell: Instant,
+    next_announcement: Instant,
 }
 
 impl Directory {
@@ -38,12 +38,12 @@
             vm: vm.clone(),
             is_control,
             seeds: seeds.to_vec(),
-            named: BTreeMap::new(),
+            last_named: BTreeMap::new(),
             links: BTreeSet::new(),
             known: Vec::new(),
-            next_tell: now,
+            next_announcement: now,
         };
-        directory.known = directory.list(now);
+        directory.known = directory.compute_known(now);
         directory
     }
 
@@ -53,7 +53,7 @@
     }
 
     pub(crate) fn next_tick(&self) -> Instant {
-        self.next_tell
+        self.next_announcement
     }
 
     pub(crate) fn link_up(&mut self, vm: &VmName, out: &mut Outbox) {
@@ -74,7 +74,7 @@
     }
 
     /// Takes what a control VM tells.
-    pub(crate) fn told(
+    pub(crate) fn on_directory(
         &mut self,
         from: &VmName,
         message: DirectoryMessage,
@@ -83,17 +83,17 @@
     ) {
         let vms = message.vms.into_iter().map(VmName::from).chain([from.clone()]);
         for vm in vms {
-            self.named.insert(vm, now);
+            self.last_named.insert(vm, now);
         }
         self.refresh(now, out);
     }
 
     pub(crate) fn tick(&mut self, now: Instant, out: &mut Outbox) {
-        if now < self.next_tell {
+        if now < self.next_announcement {
             return;
         }
-        self.next_tell = now.after(TELL);
-        self.named.retain(|_, at| now.since(*at) < FORGET_AFTER);
+        self.next_announcement = now.after(ANNOUNCE_INTERVAL);
+        self.last_named.retain(|_, at| now.since(*at) < EXPIRE_AFTER);
         self.refresh(now, out);
         if self.is_control {
             for vm in &self.links {
@@ -109,15 +109,15 @@
     }
 
     fn refresh(&mut self, now: Instant, out: &mut Outbox) {
-        let known = self.list(now);
+        let known = self.compute_known(now);
         if known != self.known {
             self.known.clone_from(&known);
             out.push(Output::Dial(known));
         }
     }
 
-    fn list(&self, now: Instant) -> Vec<VmName> {
-        let fresh = self.named.iter().filter(|(_, at)| now.since(**at) < FORGET_AFTER);
+    fn compute_known(&self, now: Instant) -> Vec<VmName> {
+        let fresh = self.last_named.iter().filter(|(_, at)| now.since(**at) < EXPIRE_AFTER);
         let own = self.is_control.then_some(&self.vm);
         let all: BTreeSet<&VmName> =
             fresh.map(|(vm, _)| vm).chain(&self.seeds).chain(own).collect();
--- a/crates/core/src/node/dispatcher.rs
+++ b/crates/core/src/node/dispatcher.rs
@@ -166,7 +166,7 @@
         let Some(entry) = self.numbers.remove(vm) else { return };
         self.names.remove(&entry);
         self.watches.remove(vm);
-        self.permits.forget(vm);
+        self.permits.remove_daemon(vm);
         self.scheduler.forget_entry(entry, now);
         self.decide(now, out);
     }
@@ -259,23 +259,23 @@
 
     /// Takes what a daemon has read of the limits that endpoints name.
     pub(crate) fn on_rate_limits(&mut self, news: LimitNews, now: Instant) {
-        self.permits.read(news, &mut self.scheduler.throttle, now);
+        self.permits.on_rate_limits(news, &mut self.scheduler.throttle, now);
     }
 
     /// Takes a daemon's request for a permit at endpoints that name limits.
     pub(crate) fn on_permit_query(
         &mut self,
         from: &VmName,
-        ask: PermitQuery,
+        query: PermitQuery,
         now: Instant,
         out: &mut Outbox,
     ) {
-        self.permits.ask(from, ask, &mut self.scheduler.throttle, now, out);
+        self.permits.on_query(from, query, &mut self.scheduler.throttle, now, out);
     }
 
     /// Some of the limits that endpoints name, the next ones at each call.
     pub(crate) fn next_rate_limits(&mut self, now: Instant) -> Vec<LimitWord> {
-        self.permits.some(&self.scheduler.throttle, now)
+        self.permits.next_limits(&self.scheduler.throttle, now)
     }
 
     /// Forgets what runs of endpoints have said that are not there any more.
--- a/crates/core/src/node/endpoint_sync.rs
+++ b/crates/core/src/node/endpoint_sync.rs
@@ -19,80 +19,79 @@
     wire::{Body, EndpointsWanted},
 };
 
-/// Parts that are asked for ahead: 25 kB at 3,000 endpoints, 20 ms on a link of 10 Mbit/s.
-const AHEAD: usize = 4;
+/// Parts that are requested ahead: 25 kB at 3,000 endpoints, 20 ms on a link of 10 Mbit/s.
+const MAX_PARTS_IN_FLIGHT: usize = 4;
 /// Time in which the links to all control VMs come up, before one of them is chosen.
-const CHOOSE_AFTER: Duration = Duration::from_millis(20);
+const LINK_SETTLE_TIME: Duration = Duration::from_millis(20);
 /// Without a part for this long, another control VM is asked: several times what a busy one takes.
-const PATIENCE: Duration = Duration::from_millis(500);
+const PART_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Parts that a control VM is asked for.
 #[derive(Debug)]
-struct Fetching {
+struct PartFetch {
     from: VmName,
     /// Those that have not been asked for.
-    wanted: VecDeque<usize>,
+    remaining: VecDeque<usize>,
     /// Those that were asked for and have not come.
-    asked: BTreeSet<usize>,
-    heard: Instant,
+    in_flight: BTreeSet<usize>,
+    last_received: Instant,
 }
 
 /// What a daemon still has to compare with the control VMs that it is linked to.
 #[derive(Debug, Default)]
 pub(super) struct EndpointSync {
     /// What each knew when the link came up.
-    told: ByVm<Digest>,
+    digests: ByVm<Digest>,
     /// Those that were not compared with.
-    waiting: BTreeSet<VmName>,
-    fetching: Option<Fetching>,
+    uncompared: BTreeSet<VmName>,
+    fetch: Option<PartFetch>,
     /// Nothing is asked for before this.
-    choose_at: Option<Instant>,
+    next_choice: Option<Instant>,
     /// The parts in which something came.
-    learned: BTreeSet<usize>,
+    updated_parts: BTreeSet<usize>,
     /// How often each did not send what it was asked for since it was linked.
-    unanswered: ByVm<u32>,
+    timeouts: ByVm<u32>,
 }
 
 impl EndpointSync {
     /// Takes what a control VM knows.
-    pub(super) fn told(&mut self, vm: &VmName, digest: Digest, now: Instant) {
-        self.told.insert(vm.clone(), digest);
-        self.waiting.insert(vm.clone());
-        if self.fetching.is_none() {
-            self.choose_at.get_or_insert(now.after(CHOOSE_AFTER));
+    pub(super) fn on_digest(&mut self, vm: &VmName, digest: Digest, now: Instant) {
+        self.digests.insert(vm.clone(), digest);
+        self.uncompared.insert(vm.clone());
+        if self.fetch.is_none() {
+            self.next_choice.get_or_insert(now.after(LINK_SETTLE_TIME));
         }
     }
 
     /// A link is down.
     pub(super) fn link_down(&mut self, vm: &VmName, now: Instant) {
-        self.told.remove(vm);
-        self.waiting.remove(vm);
-        self.unanswered.remove(vm);
-        if self.fetching.take_if(|fetching| fetching.from == *vm).is_some() {
-            self.choose_at = Some(now);
+        self.digests.remove(vm);
+        self.uncompared.remove(vm);
+        self.timeouts.remove(vm);
+        if self.fetch.take_if(|fetch| fetch.from == *vm).is_some() {
+            self.next_choice = Some(now);
         }
     }
 
     /// Notes that a part has come, and asks for the next.
-    pub(super) fn came(&mut self, from: &VmName, part: usize, now: Instant, out: &mut Outbox) {
-        self.learned.insert(part);
-        let Some(fetching) = self.fetching.as_mut().filter(|fetching| fetching.from == *from)
-        else {
+    pub(super) fn on_part(&mut self, from: &VmName, part: usize, now: Instant, out: &mut Outbox) {
+        self.updated_parts.insert(part);
+        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.from == *from) else {
             return;
         };
-        fetching.asked.remove(&part);
-        fetching.heard = now;
-        fetching.ask(out);
-        if fetching.asked.is_empty() {
-            self.fetching = None;
-            self.choose_at = Some(now);
+        fetch.in_flight.remove(&part);
+        fetch.last_received = now;
+        fetch.request_parts(out);
+        if fetch.in_flight.is_empty() {
+            self.fetch = None;
+            self.next_choice = Some(now);
         }
     }
 
     /// When [`EndpointSync::tick`] next has something to do.
     pub(super) fn next_tick(&self) -> Option<Instant> {
-        let patience = self.fetching.as_ref().map(|fetching| fetching.heard.after(PATIENCE));
-        patience.or(self.choose_at)
+        let patience = self.fetch.as_ref().map(|fetch| fetch.last_received.after(PART_TIMEOUT));
+        patience.or(self.next_choice)
     }
 
     /// Asks the next control VM that knows something else than this daemon.
@@ -106,58 +105,60 @@
         if self.next_tick().is_none_or(|due| now < due) {
             return;
         }
-        if let Some(silent) = self.fetching.take() {
-            *self.unanswered.entry(silent.from.clone()).or_default() += 1;
-            self.waiting.insert(silent.from);
+        if let Some(silent) = self.fetch.take() {
+            *self.timeouts.entry(silent.from.clone()).or_default() += 1;
+            self.uncompared.insert(silent.from);
         }
-        self.choose_at = None;
+        self.next_choice = None;
         let digest = digest();
-        let mut waiting: Vec<VmName> = std::mem::take(&mut self.waiting).into_iter().collect();
+        let mut waiting: Vec<VmName> = std::mem::take(&mut self.uncompared).into_iter().collect();
         waiting.sort_by_cached_key(|vm| {
             let mut hasher = DefaultHasher::new();
             (own, vm).hash(&mut hasher);
-            (self.unanswered.get(vm).copied().unwrap_or_default(), hasher.finish())
+            (self.timeouts.get(vm).copied().unwrap_or_default(), hasher.finish())
         });
         let mut waiting = waiting.into_iter();
         for vm in waiting.by_ref() {
-            let Some(told) = self.told.get(&vm) else { continue };
-            let wanted: VecDeque<usize> = told.differs_in(&digest).collect();
-            if wanted.is_empty() {
+            let Some(told) = self.digests.get(&vm) else { continue };
+            let remaining: VecDeque<usize> = told.differs_in(&digest).collect();
+            if remaining.is_empty() {
                 continue;
             }
-            let mut fetching = Fetching { from: vm, wanted, asked: BTreeSet::new(), heard: now };
-            fetching.ask(out);
-            self.fetching = Some(fetching);
+            let mut fetch =
+                PartFetch { from: vm, remaining, in_flight: BTreeSet::new(), last_received: now };
+            fetch.request_parts(out);
+            self.fetch = Some(fetch);
             break;
         }
-        self.waiting = waiting.collect();
+        self.uncompared = waiting.collect();
     }
 
     /// The parts in which something came that the leader did not know, once all control VMs were
     /// compared with.
-    pub(super) fn take_unknown_to(
+    pub(super) fn take_parts_unknown_to(
         &mut self,
         leader: &VmName,
         digest: impl FnOnce() -> Digest,
     ) -> Vec<usize> {
-        let is_done = self.fetching.is_none() && self.choose_at.is_none();
-        let Some(known) = self.told.get(leader).filter(|_| is_done && !self.learned.is_empty())
+        let is_done = self.fetch.is_none() && self.next_choice.is_none();
+        let Some(known) =
+            self.digests.get(leader).filter(|_| is_done && !self.updated_parts.is_empty())
         else {
             return Vec::new();
         };
         let differing: BTreeSet<usize> = known.differs_in(&digest()).collect();
-        let learned = std::mem::take(&mut self.learned);
+        let learned = std::mem::take(&mut self.updated_parts);
         learned.intersection(&differing).copied().collect()
     }
 }
 
-impl Fetching {
+impl PartFetch {
     /// Asks for as many parts as may be on their way.
-    fn ask(&mut self, out: &mut Outbox) {
-        while self.asked.len() < AHEAD
-            && let Some(part) = self.wanted.pop_front()
+    fn request_parts(&mut self, out: &mut Outbox) {
+        while self.in_flight.len() < MAX_PARTS_IN_FLIGHT
+            && let Some(part) = self.remaining.pop_front()
         {
-            self.asked.insert(part);
+            self.in_flight.insert(part);
             out.send(&self.from, Body::EndpointsWanted(EndpointsWanted { part: part as u64 }));
         }
     }
--- a/crates/core/src/node/inputs.rs
+++ b/crates/core/src/node/inputs.rs
@@ -17,69 +17,71 @@
 };
 
 impl Node {
-    pub(super) fn take(&mut self, input: Input, clocks: Clocks) {
+    pub(super) fn apply(&mut self, input: Input, clocks: Clocks) {
         let out = &mut self.outputs;
         match input {
             Input::Tick => self.tick(clocks),
             Input::LinkUp(vm) => self.link_up(vm, clocks),
             Input::LinkDown(vm) => self.link_down(&vm, clocks),
-            Input::Message(from, body) => self.message(&from, body, clocks),
+            Input::Message(from, body) => self.on_message(&from, body, clocks),
             Input::Persisted(number) => {
                 if let Some(control) = &mut self.control {
                     control.persisted(number, clocks, out);
                 }
             }
             Input::Call(call, question) => self.ask(call, question, clocks),
-            Input::Progress(call, tokens) => self.placement.progress(call, tokens, clocks.now, out),
+            Input::Progress(call, tokens) => {
+                self.placement.on_progress(call, tokens, clocks.now, out)
+            }
             Input::Finished { call, tokens, whole } => {
-                self.placement.finished(call, tokens, whole, clocks.now, out);
+                self.placement.on_finished(call, tokens, whole, clocks.now, out);
             }
             Input::Cancelled(call) => self.placement.cancel(call, clocks.now, out),
             Input::Health(endpoint, news) => {
-                self.placement.health(&endpoint, news, clocks.now, true, out);
+                self.placement.on_health(&endpoint, news, clocks.now, true, out);
             }
             Input::FailedAttempt(broke_off) => {
                 let (suspects, mut cx, out) = self.suspects_context(clocks);
-                suspects.broke_off(broke_off, &mut cx, out);
+                suspects.on_failed_attempt(broke_off, &mut cx, out);
             }
             Input::AnsweredWhole(request) => {
                 let (suspects, mut cx, out) = self.suspects_context(clocks);
-                suspects.answered_whole(&request, &mut cx, out);
+                suspects.on_complete_answer(&request, &mut cx, out);
             }
             Input::TrialBegun(call) => {
                 let (suspects, cx, out) = self.suspects_context(clocks);
-                suspects.begun(call, &cx, out);
+                suspects.on_trial_started(call, &cx, out);
             }
             Input::TrialOver { call, whole } => {
                 let (suspects, mut cx, out) = self.suspects_context(clocks);
-                suspects.over(call, whole, &mut cx, out);
+                suspects.on_trial_over(call, whole, &mut cx, out);
             }
             Input::LimitRead(word) => {
                 let (permits, mut cx, out) = self.permits_context(clocks.now);
-                permits.read(word, &mut cx, out);
+                permits.on_report(word, &mut cx, out);
             }
             Input::Rejected(rejection) => {
                 let scheduler = self.client.scheduler(clocks.now);
-                self.placement.rejected(&rejection, scheduler, clocks.now, out);
+                self.placement.on_rejection(&rejection, scheduler, clocks.now, out);
             }
             Input::Leaving { endpoint, started_at } => {
-                self.endpoint_leaves(&endpoint, started_at, clocks.now);
+                self.on_endpoint_leaving(&endpoint, started_at, clocks.now);
             }
             Input::Cold { endpoint, started_at, left } => {
                 self.registry.cool(&endpoint, started_at, clocks.now.after(left));
             }
-            Input::Heartbeat(record) => self.heartbeat(record, clocks.now),
+            Input::Heartbeat(record) => self.on_heartbeat(record, clocks.now),
             Input::Recall(records) => {
                 if self.disabled.allows(Mechanism::RecalledEndpoints) {
                     self.registry.recall(records, clocks.now);
                 }
             }
-            Input::Farewell(id) => self.farewell(&id, clocks.now),
+            Input::Farewell(id) => self.on_deregistration(&id, clocks.now),
             Input::Moved { call, at, done } => {
-                self.placement.moved(call, &at, done, clocks.now, out);
+                self.placement.on_relocated(call, &at, done, clocks.now, out);
             }
             Input::Seeds(seeds) => self.directory.set_seeds(seeds, clocks.now, out),
-            Input::Load(report) => self.placement.load(report, clocks.now, out),
+            Input::Load(report) => self.placement.on_load_report(report, clocks.now, out),
             Input::Stop => {
                 self.client.stop(clocks.now, out);
                 if let Some(control) = &mut self.control {
@@ -123,11 +125,11 @@
             }
             NodeCall::Trial { request, limit } => {
                 let (suspects, cx, out) = self.suspects_context(clocks);
-                suspects.ask(call, request, limit, &cx, out);
+                suspects.request_trial(call, request, limit, &cx, out);
             }
             NodeCall::Permit(ask) => {
                 let (permits, mut cx, out) = self.permits_context(clocks.now);
-                permits.ask(PermitRequest { asker: call, ..ask }, &mut cx, out);
+                permits.request(PermitRequest { asker: call, ..ask }, &mut cx, out);
             }
             NodeCall::ClearSuspect { request, limit } => {
                 let request = Bytes::copy_from_slice(request.as_bytes());
@@ -150,19 +152,19 @@
         }
     }
 
-    pub(super) fn message(&mut self, from: &VmName, body: Body, clocks: Clocks) {
+    pub(super) fn on_message(&mut self, from: &VmName, body: Body, clocks: Clocks) {
         let leads = self.leads();
         let out = &mut self.outputs;
         match body {
             Body::PollReply(reply) => {
-                self.placement.told_slow(&reply.slow, clocks.now);
+                self.placement.on_slow_endpoints(&reply.slow, clocks.now);
                 self.placement.set_daemons(reply.daemons, clocks.now);
-                self.limits_told(reply.limits.clone(), clocks);
+                self.on_rate_limits(reply.limits.clone(), clocks);
                 let out = &mut self.outputs;
                 let news = reply.suspects.clone();
                 self.client.poll_reply(from, reply, clocks.now, out);
                 if let Some(news) = news {
-                    self.suspect_news(&news, clocks.now);
+                    self.on_suspect_news(&news, clocks.now);
                 }
             }
             Body::Update(update) => self.client.update(from, update, clocks.now, out),
@@ -174,16 +176,16 @@
                     self.operations.not_taken(operation);
                 }
             }
-            Body::Suspects(news) => self.suspect_news(&news, clocks.now),
+            Body::Suspects(news) => self.on_suspect_news(&news, clocks.now),
             Body::TrialReply(reply) => {
                 let (suspects, cx, out) = self.suspects_context(clocks);
-                suspects.answered(reply, &cx, out);
+                suspects.on_trial_reply(reply, &cx, out);
             }
-            Body::Limits(news) => self.limits_told(news.words, clocks),
-            Body::Overloaded(news) => self.placement.told_overloaded(&news, clocks.now),
+            Body::Limits(news) => self.on_rate_limits(news.words, clocks),
+            Body::Overloaded(news) => self.placement.on_overloaded(&news, clocks.now),
             Body::PermitReply(reply) => {
                 let (permits, mut cx, out) = self.permits_context(clocks.now);
-                permits.answered(reply, &mut cx, out);
+                permits.on_reply(reply, &mut cx, out);
             }
             Body::OperationReply(reply) => {
                 let recorded = match reply.result {
@@ -193,25 +195,25 @@
                 self.operations.reply(reply, out);
                 if let Some((operation, recorded)) = recorded {
                     let (suspects, cx, out) = self.suspects_context(clocks);
-                    suspects.recorded(operation, recorded, &cx, out);
+                    suspects.on_crash_recorded(operation, recorded, &cx, out);
                 }
             }
-            Body::Grant(grant) => self.placement.granted(from, grant, clocks.now, out),
-            Body::GiveUp(give_up) => self.placement.given_up(give_up, out),
-            Body::Directory(message) => self.directory.told(from, message, clocks.now, out),
-            Body::EndpointNews(news) => self.endpoint_news(from, news, clocks.now),
+            Body::Grant(grant) => self.placement.on_grant(from, grant, clocks.now, out),
+            Body::GiveUp(give_up) => self.placement.on_give_up(give_up, out),
+            Body::Directory(message) => self.directory.on_directory(from, message, clocks.now, out),
+            Body::EndpointNews(news) => self.on_endpoint_news(from, news, clocks.now),
             Body::EndpointDigest(EndpointDigest { sums }) => {
                 // Another release may divide them otherwise; what is new it tells all the same.
                 if let Some(digest) = Digest::read(sums) {
-                    self.endpoint_sync.told(from, digest, clocks.now);
+                    self.endpoint_sync.on_digest(from, digest, clocks.now);
                 }
             }
-            Body::EndpointsWanted(wanted) => self.send_endpoints(from, wanted, clocks.now),
-            Body::Move(order) => self.placement.order(&order, out),
+            Body::EndpointsWanted(wanted) => self.send_endpoint_part(from, wanted, clocks.now),
+            Body::Move(order) => self.placement.on_move(&order, out),
             Body::Watch(watch) => out.push(Output::Watch(watch.endpoints)),
             Body::Health(health) if !leads || *from == self.vm => {
                 let (endpoint, news) = (health.endpoint.as_str().into(), health.news());
-                self.placement.health(&endpoint, news, clocks.now, false, out);
+                self.placement.on_health(&endpoint, news, clocks.now, false, out);
                 if let (true, Some(control)) = (leads, &mut self.control) {
                     control.message(from, Body::Health(health), clocks, out);
                 }
@@ -225,8 +227,8 @@
     }
 
     /// Takes the leader's word of the limits that endpoints name.
-    fn limits_told(&mut self, words: Vec<LimitWord>, clocks: Clocks) {
+    fn on_rate_limits(&mut self, words: Vec<LimitWord>, clocks: Clocks) {
         let (permits, mut cx, out) = self.permits_context(clocks.now);
-        permits.told(words, &mut cx, out);
+        permits.on_rate_limits(words, &mut cx, out);
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -102,7 +102,7 @@
 
 /// Interval at which the registry is searched for endpoints that are silent or long gone; both
 /// are matters of seconds.
-const SEARCH: Duration = Duration::from_millis(100);
+const EXPIRY_SCAN_INTERVAL: Duration = Duration::from_millis(100);
 
 /// One daemon.
 pub struct Node {
@@ -120,23 +120,23 @@
     /// Daemons that are linked.
     links: BTreeSet<VmName>,
     /// Revision of the registry that was last handed out.
-    handed_out: u64,
+    published_revision: u64,
     /// The registry is not handed out again before this.
-    next_hand_out: Instant,
-    /// Revision of the registry that was last remembered on disk.
-    remembered: u64,
-    /// It is not remembered again before this.
-    next_remember: Instant,
+    next_publish: Instant,
+    /// Revision of the registry that was last saved on disk.
+    saved_revision: u64,
+    /// It is not saved again before this.
+    next_save: Instant,
     /// What endpoints have said here, for every daemon.
-    own_news: NewsBatch,
+    local_updates: NewsBatch,
     /// What other control VMs have told, for every daemon.
-    relayed: NewsBatch,
+    relayed_updates: NewsBatch,
     /// Heartbeats that say nothing new, for the other control VMs.
     heartbeats: NewsBatch,
     /// What an entry has heard from others than the leader.
-    for_leader: NewsBatch,
+    leader_updates: NewsBatch,
     /// When the registry is next searched for endpoints that are silent or long gone.
-    next_search: Instant,
+    next_expiry_scan: Instant,
     disabled: Disabled,
 }
 
@@ -156,15 +156,15 @@
             registry: Registry::new(options.endpoint_heartbeat),
             endpoint_sync: EndpointSync::default(),
             links: BTreeSet::new(),
-            handed_out: 0,
-            next_hand_out: Instant::default(),
-            remembered: 0,
-            next_remember: Instant::default(),
-            own_news: NewsBatch::default(),
-            relayed: NewsBatch::default(),
+            published_revision: 0,
+            next_publish: Instant::default(),
+            saved_revision: 0,
+            next_save: Instant::default(),
+            local_updates: NewsBatch::default(),
+            relayed_updates: NewsBatch::default(),
             heartbeats: NewsBatch::default(),
-            for_leader: NewsBatch::default(),
-            next_search: Instant::default(),
+            leader_updates: NewsBatch::default(),
+            next_expiry_scan: Instant::default(),
             disabled: options.disabled,
         }
     }
@@ -227,8 +227,8 @@
 
     /// Takes an input and returns what must be done.
     pub fn handle(&mut self, input: Input, clocks: Clocks) -> Vec<Output> {
-        self.take(input, clocks);
-        self.settle(clocks);
+        self.apply(input, clocks);
+        self.deliver_and_publish(clocks);
         std::mem::take(&mut self.outputs.outputs)
     }
 
@@ -242,7 +242,7 @@
             next = next.min(control.next_tick());
         }
         next = next.min(self.endpoint_sync.next_tick().unwrap_or(next));
-        next.min(self.next_news().unwrap_or(next))
+        next.min(self.next_endpoint_tick().unwrap_or(next))
     }
 
     fn tick(&mut self, clocks: Clocks) {
@@ -256,11 +256,11 @@
         self.placement.tick(self.client.scheduler(clocks.now), clocks.now, out);
         self.directory.tick(clocks.now, out);
         self.endpoint_sync.tick(&self.vm, || self.registry.digest(), clocks.now, out);
-        if self.next_search <= clocks.now {
-            self.next_search = clocks.now.after(SEARCH);
+        if self.next_expiry_scan <= clocks.now {
+            self.next_expiry_scan = clocks.now.after(EXPIRY_SCAN_INTERVAL);
             self.registry.expire(clocks.now);
             if self.leads() {
-                self.tell_silent(clocks.now);
+                self.broadcast_silent_endpoints(clocks.now);
             }
         }
         let (suspects, mut cx, out) = self.suspects_context(clocks);
@@ -296,8 +296,8 @@
     }
 
     /// Takes what has changed about suspects.
-    fn suspect_news(&mut self, news: &SuspectNews, now: Instant) {
-        self.suspects.take(news, &mut self.outputs);
+    fn on_suspect_news(&mut self, news: &SuspectNews, now: Instant) {
+        self.suspects.on_news(news, &mut self.outputs);
         let state = self.suspects.known().state();
         self.client.set_suspects_state(state, news.more, now, &mut self.outputs);
     }
@@ -332,21 +332,21 @@
     }
 
     /// Delivers messages to this node itself and tells the parts of news from each other.
-    fn settle(&mut self, clocks: Clocks) {
+    fn deliver_and_publish(&mut self, clocks: Clocks) {
         loop {
             self.client.set_replicas(self.directory.known());
             if let Some(control) = &self.control {
                 self.client.load_accepted(control.state(), clocks.now, &mut self.outputs);
             }
             let active_config = self.client.take_config_change();
-            self.tell_leader_what_it_lacks(clocks.now);
-            self.send_news(clocks.now);
-            self.remember_if_due(clocks.now);
+            self.queue_updates_for_leader(clocks.now);
+            self.flush_endpoint_news(clocks.now);
+            self.save_endpoints_if_due(clocks.now);
             let halls_back = self.client.take_restored_halls();
-            self.note_halls_back(halls_back.as_deref().unwrap_or_default(), clocks.now);
-            let registered = self.hand_out_if_due(halls_back.is_some(), clocks.now);
+            self.on_halls_restored(halls_back.as_deref().unwrap_or_default(), clocks.now);
+            let registered = self.publish_endpoints_if_due(halls_back.is_some(), clocks.now);
             if active_config.is_some() || registered {
-                self.hand_out_endpoints(clocks.now);
+                self.configure_schedulers(clocks.now);
             }
             if let Some(active_config) = active_config {
                 self.outputs.push(Output::ConfigActivated(active_config));
@@ -354,19 +354,19 @@
             if let Some(leader) = self.client.take_leader_change() {
                 let now = clocks.now;
                 self.operations.leader_changed(leader.as_ref(), now, &mut self.outputs);
-                self.suspects.leader_changed(leader.as_ref(), &mut self.outputs);
+                self.suspects.on_leader_change(leader.as_ref(), &mut self.outputs);
                 let scheduler = self.client.scheduler(now);
                 let term = scheduler.map_or(0, |scheduler| scheduler.term);
                 self.outputs.push(Output::Leader { vm: leader, term });
-                self.placement.scheduler_changed(scheduler, now, &mut self.outputs);
+                self.placement.on_scheduler_change(scheduler, now, &mut self.outputs);
                 let (permits, mut cx, out) = self.permits_context(now);
-                permits.scheduler_changed(&mut cx, out);
+                permits.on_scheduler_change(&mut cx, out);
             }
             let vm = &self.vm;
             let to_self = |output: &Output| matches!(output, Output::Send(to, _) if to == vm);
             let Some(at) = self.outputs.outputs.iter().position(to_self) else { return };
             let Output::Send(from, body) = self.outputs.outputs.remove(at) else { return };
-            self.message(&from, body, clocks);
+            self.on_message(&from, body, clocks);
         }
     }
 }
--- a/crates/core/src/node/permit_allocator.rs
+++ b/crates/core/src/node/permit_allocator.rs
@@ -10,57 +10,62 @@
 };
 
 /// Limits that an answer to a daemon's poll names, for what has not reached it: 120 bytes.
-const REPEATED_AT_ONCE: usize = 2;
+const LIMITS_PER_POLL_REPLY: usize = 2;
 
 /// The leader's soft state about limits.
 #[derive(Debug, Default)]
 pub(super) struct PermitAllocator {
     queue: PermitQueue<(VmName, u64)>,
-    news: Broadcast,
+    broadcast: Broadcast,
     /// Number of the limits that were repeated.
-    repeated: usize,
+    next_repeated: usize,
 }
 
 impl PermitAllocator {
     /// Takes what an endpoint has said.
-    pub(super) fn learn(&mut self, word: Word, throttle: &mut Throttle, now: Instant) {
+    pub(super) fn apply_report(&mut self, word: Word, throttle: &mut Throttle, now: Instant) {
         let endpoint = word.endpoint.clone();
         if throttle.learn(word, now) != Change::None {
-            self.news.add(&endpoint, now);
+            self.broadcast.add(&endpoint, now);
         }
     }
 
     /// Takes what a daemon has read.
-    pub(super) fn read(&mut self, news: LimitNews, throttle: &mut Throttle, now: Instant) {
+    pub(super) fn on_rate_limits(
+        &mut self,
+        news: LimitNews,
+        throttle: &mut Throttle,
+        now: Instant,
+    ) {
         for word in news.words.into_iter().filter_map(|word| word.decode(now)) {
-            self.learn(word, throttle, now);
+            self.apply_report(word, throttle, now);
         }
     }
 
     /// Takes a daemon's request for a permit.
-    pub(super) fn ask(
+    pub(super) fn on_query(
         &mut self,
         from: &VmName,
-        ask: PermitQuery,
+        req: PermitQuery,
         throttle: &mut Throttle,
         now: Instant,
         out: &mut Outbox,
     ) {
-        let (ask, words) = decode(from, ask, now);
-        words.into_iter().for_each(|word| self.learn(word, throttle, now));
-        let asker = ask.asker.clone();
-        if let Some(permit) = self.queue.ask(ask, throttle, now) {
+        let (req, words) = decode(from, req, now);
+        words.into_iter().for_each(|word| self.apply_report(word, throttle, now));
+        let asker = req.asker.clone();
+        if let Some(permit) = self.queue.ask(req, throttle, now) {
             reply(&asker, permit, out);
         }
     }
 
     /// A daemon is gone.
-    pub(super) fn forget(&mut self, vm: &VmName) {
+    pub(super) fn remove_daemon(&mut self, vm: &VmName) {
         self.queue.forget(|(asker, _)| asker == vm);
     }
 
     pub(super) fn next_tick(&self) -> Option<Instant> {
-        self.news.next_tick().into_iter().chain(self.queue.next_decision()).min()
+        self.broadcast.next_tick().into_iter().chain(self.queue.next_decision()).min()
     }
 
     /// Gives permits that are due, and tells daemons what is news.
@@ -76,17 +81,17 @@
                 reply(&asker, permit, out);
             }
         }
-        self.tell(daemons, throttle, now, out);
+        self.broadcast(daemons, throttle, now, out);
     }
 
-    fn tell(
+    fn broadcast(
         &mut self,
         daemons: &BTreeSet<VmName>,
         throttle: &Throttle,
         now: Instant,
         out: &mut Outbox,
     ) {
-        let due = self.news.take_due(daemons.len(), now);
+        let due = self.broadcast.take_due(daemons.len(), now);
         if due.is_empty() {
             return;
         }
@@ -99,14 +104,14 @@
     }
 
     /// Some of the limits, the next ones at each call.
-    pub(super) fn some(&mut self, throttle: &Throttle, now: Instant) -> Vec<LimitWord> {
+    pub(super) fn next_limits(&mut self, throttle: &Throttle, now: Instant) -> Vec<LimitWord> {
         let count = throttle.count();
         if count == 0 {
             return Vec::new();
         }
-        let first = self.repeated % count;
-        self.repeated = self.repeated.wrapping_add(REPEATED_AT_ONCE);
-        let words = throttle.words().skip(first).take(REPEATED_AT_ONCE);
+        let first = self.next_repeated % count;
+        self.next_repeated = self.next_repeated.wrapping_add(LIMITS_PER_POLL_REPLY);
+        let words = throttle.words().skip(first).take(LIMITS_PER_POLL_REPLY);
         words.map(|word| LimitWord::encode(word, now)).collect()
     }
 }
--- a/crates/core/src/node/permit_client.rs
+++ b/crates/core/src/node/permit_client.rs
@@ -12,24 +12,24 @@
 
 /// How long the leader's answer may take beyond what the request can wait: many round trips. A request that
 /// has other endpoints loses as much once, if the leader has just been lost.
-const ANSWER_LIMIT: Duration = Duration::from_millis(50);
+const LEADER_TIMEOUT: Duration = Duration::from_millis(50);
 /// After no answer has come, nobody asks again for this long; by then another leader is known, or none.
-const UNANSWERED: Duration = Duration::from_millis(500);
+const UNANSWERED_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Limits that a new leader is told of by one daemon at once; what more there are it hears with the questions.
-const MAX_TOLD: usize = 64;
+const MAX_LIMITS_SENT: usize = 64;
 
 /// A question to the leader that waits for its answer.
 #[derive(Debug)]
-struct Asking {
-    ask: PermitRequest<CallId>,
+struct PendingRequest {
+    req: PermitRequest<CallId>,
     deadline: Instant,
 }
 
 /// What this daemon waits for.
 #[derive(Debug, Default)]
 pub(crate) struct PermitClient {
-    asking: BTreeMap<CallId, Asking>,
-    own: PermitQueue<CallId>,
+    pending: BTreeMap<CallId, PendingRequest>,
+    local: PermitQueue<CallId>,
 }
 
 /// What the parts of a daemon beside this one know now.
@@ -42,9 +42,9 @@
 
 impl PermitClient {
     /// Takes an endpoint's word that has come to this daemon; tells the leader if it is news.
-    pub(super) fn read(&mut self, word: Word, cx: &mut Context<'_>, out: &mut Outbox) {
+    pub(super) fn on_report(&mut self, word: Word, cx: &mut Context<'_>, out: &mut Outbox) {
         let endpoint = word.endpoint.clone();
-        if learn(word, cx, out) == Change::None {
+        if apply_report(word, cx, out) == Change::None {
             return;
         }
         if let (Some(scheduler), Some(word)) = (cx.scheduler, cx.throttle.word(&endpoint)) {
@@ -54,37 +54,47 @@
     }
 
     /// Takes the leader's word of what endpoints have said.
-    pub(super) fn told(&mut self, words: Vec<LimitWord>, cx: &mut Context<'_>, out: &mut Outbox) {
+    pub(super) fn on_rate_limits(
+        &mut self,
+        words: Vec<LimitWord>,
+        cx: &mut Context<'_>,
+        out: &mut Outbox,
+    ) {
         let now = cx.now;
         for word in words.into_iter().filter_map(|word| word.decode(now)) {
-            learn(word, cx, out);
+            apply_report(word, cx, out);
         }
     }
 
     /// Asks for a permit.
-    pub(super) fn ask(
+    pub(super) fn request(
         &mut self,
-        ask: PermitRequest<CallId>,
+        req: PermitRequest<CallId>,
         cx: &mut Context<'_>,
         out: &mut Outbox,
     ) {
-        let Some(scheduler) = cx.scheduler else { return self.ask_alone(ask, cx, out) };
-        out.send(&scheduler.vm, encode(&ask, cx));
-        let deadline = cx.now.after(ask.max_wait + ANSWER_LIMIT);
-        self.asking.insert(ask.asker, Asking { ask, deadline });
+        let Some(scheduler) = cx.scheduler else { return self.request_locally(req, cx, out) };
+        out.send(&scheduler.vm, encode(&req, cx));
+        let deadline = cx.now.after(req.max_wait + LEADER_TIMEOUT);
+        self.pending.insert(req.asker, PendingRequest { req, deadline });
     }
 
-    fn ask_alone(&mut self, ask: PermitRequest<CallId>, cx: &mut Context<'_>, out: &mut Outbox) {
-        let call = ask.asker;
-        if let Some(permit) = self.own.ask(ask, cx.throttle, cx.now) {
+    fn request_locally(
+        &mut self,
+        req: PermitRequest<CallId>,
+        cx: &mut Context<'_>,
+        out: &mut Outbox,
+    ) {
+        let call = req.asker;
+        if let Some(permit) = self.local.ask(req, cx.throttle, cx.now) {
             out.reply(call, NodeReply::Permit(permit));
         }
     }
 
     /// Takes the leader's answer. A permit for a request that no longer waits is lost.
-    pub(super) fn answered(&mut self, reply: PermitReply, cx: &mut Context<'_>, out: &mut Outbox) {
+    pub(super) fn on_reply(&mut self, reply: PermitReply, cx: &mut Context<'_>, out: &mut Outbox) {
         let call = CallId(reply.number);
-        if self.asking.remove(&call).is_none() {
+        if self.pending.remove(&call).is_none() {
             return;
         }
         let permit = match reply.endpoint {
@@ -99,47 +109,50 @@
     }
 
     /// Tells a new leader what endpoints have said and what waits; without one what waits goes on here.
-    pub(super) fn scheduler_changed(&mut self, cx: &mut Context<'_>, out: &mut Outbox) {
+    pub(super) fn on_scheduler_change(&mut self, cx: &mut Context<'_>, out: &mut Outbox) {
         let Some(scheduler) = cx.scheduler else { return };
-        let words = cx.throttle.words().take(MAX_TOLD);
+        let words = cx.throttle.words().take(MAX_LIMITS_SENT);
         let words: Vec<LimitWord> = words.map(|word| LimitWord::encode(word, cx.now)).collect();
         if !words.is_empty() {
             out.send(&scheduler.vm, Body::LimitsRead(LimitNews { words }));
         }
-        for Asking { ask, .. } in self.asking.values() {
-            out.send(&scheduler.vm, encode(ask, cx));
+        for PendingRequest { req, .. } in self.pending.values() {
+            out.send(&scheduler.vm, encode(req, cx));
         }
-        for ask in self.own.take_waiting() {
-            self.ask(ask, cx, out);
+        for req in self.local.take_waiting() {
+            self.request(req, cx, out);
         }
     }
 
     pub(super) fn next_tick(&self) -> Option<Instant> {
-        let asking = self.asking.values().map(|asking| asking.deadline);
-        asking.chain(self.own.next_decision()).min()
+        let pending = self.pending.values().map(|pending| pending.deadline);
+        pending.chain(self.local.next_decision()).min()
     }
 
     pub(super) fn tick(&mut self, cx: &mut Context<'_>, out: &mut Outbox) {
         if cx.scheduler.is_none() {
-            for Asking { ask, .. } in std::mem::take(&mut self.asking).into_values() {
-                self.ask_alone(ask, cx, out);
+            for PendingRequest { req, .. } in std::mem::take(&mut self.pending).into_values() {
+                self.request_locally(req, cx, out);
             }
         }
-        if self.own.next_decision().is_some_and(|due| due <= cx.now) {
-            for (call, permit) in self.own.decide(cx.throttle, cx.now) {
+        if self.local.next_decision().is_some_and(|due| due <= cx.now) {
+            for (call, permit) in self.local.decide(cx.throttle, cx.now) {
                 out.reply(call, NodeReply::Permit(permit));
             }
         }
-        let overdue = self.asking.iter().filter(|(_, asking)| asking.deadline <= cx.now);
+        let overdue = self.pending.iter().filter(|(_, pending)| pending.deadline <= cx.now);
         for call in overdue.map(|(call, _)| *call).collect::<Vec<_>>() {
-            self.asking.remove(&call);
-            out.reply(call, NodeReply::Permit(Permit::Denied { retry_after: UNANSWERED }));
+            self.pending.remove(&call);
+            out.reply(
+                call,
+                NodeReply::Permit(Permit::Denied { retry_after: UNANSWERED_RETRY_AFTER }),
+            );
         }
     }
 }
 
 /// Takes an endpoint's word into the daemon's own table.
-fn learn(word: Word, cx: &mut Context<'_>, out: &mut Outbox) -> Change {
+fn apply_report(word: Word, cx: &mut Context<'_>, out: &mut Outbox) -> Change {
     let endpoint = word.endpoint.clone();
     let change = cx.throttle.learn(word, cx.now);
     if change != Change::None {
@@ -149,25 +162,25 @@
     change
 }
 
-fn encode(ask: &PermitRequest<CallId>, cx: &Context<'_>) -> Body {
-    let endpoints = ask.endpoints.iter().filter_map(|name| cx.throttle.word(name));
+fn encode(req: &PermitRequest<CallId>, cx: &Context<'_>) -> Body {
+    let endpoints = req.endpoints.iter().filter_map(|name| cx.throttle.word(name));
     Body::PermitQuery(PermitQuery {
-        number: ask.asker.0,
-        service: ask.service.to_string(),
+        number: req.asker.0,
+        service: req.service.to_string(),
         endpoints: endpoints.map(|word| LimitWord::encode(word, cx.now)).collect(),
-        max_wait_ms: ask.max_wait.as_millis() as u64,
+        max_wait_ms: req.max_wait.as_millis() as u64,
     })
 }
 
 /// The same as the leader takes it, and what the endpoints have said.
 pub(super) fn decode(
     from: &VmName,
-    ask: PermitQuery,
+    req: PermitQuery,
     now: Instant,
 ) -> (PermitRequest<(VmName, u64)>, Vec<Word>) {
-    let max_wait = ask.max_wait();
-    let words: Vec<Word> = ask.endpoints.into_iter().filter_map(|word| word.decode(now)).collect();
+    let max_wait = req.max_wait();
+    let words: Vec<Word> = req.endpoints.into_iter().filter_map(|word| word.decode(now)).collect();
     let endpoints: Vec<Arc<str>> = words.iter().map(|word| word.endpoint.clone()).collect();
-    let asker = (from.clone(), ask.number);
-    (PermitRequest { asker, service: ask.service.into(), endpoints, max_wait }, words)
+    let asker = (from.clone(), req.number);
+    (PermitRequest { asker, service: req.service.into(), endpoints, max_wait }, words)
 }
--- a/crates/core/src/node/placement_client/backoff.rs
+++ b/crates/core/src/node/placement_client/backoff.rs
@@ -11,11 +11,11 @@
 };
 
 /// Back-offs that a new leader is told of by one daemon.
-const MAX_TOLD: usize = 64;
+const MAX_BACKOFFS_SENT: usize = 64;
 
 impl PlacementClient {
     /// Takes what an endpoint has rejected, and tells the leader, which places requests of this daemon.
-    pub(crate) fn rejected(
+    pub(crate) fn on_rejection(
         &mut self,
         rejection: &Rejection,
         scheduler: Option<&RemoteScheduler>,
@@ -30,14 +30,14 @@
         if self.local.backoffs.backs_off_until(endpoint, OWN_DAEMON, now).is_none() {
             return;
         }
-        self.next_backoff_end = self.first_end(now);
+        self.next_backoff_expiry = self.earliest_backoff_expiry(now);
         if self.backing_off.insert(endpoint.clone()) {
-            self.show(endpoint, now, out);
+            self.publish_backoff(endpoint, now, out);
         }
     }
 
     /// Takes the leader's word of endpoints that reject requests of other daemons.
-    pub(crate) fn told_overloaded(&mut self, news: &Overloaded, now: Instant) {
+    pub(crate) fn on_overloaded(&mut self, news: &Overloaded, now: Instant) {
         for told in &news.endpoints {
             let endpoint: Arc<str> = told.endpoint.as_str().into();
             self.local.backoffs.on_report(&endpoint, told.started_at, told.left(), now);
@@ -45,8 +45,8 @@
     }
 
     /// Tells a new leader which endpoints want nothing from this daemon.
-    pub(super) fn tell_backoffs(&self, scheduler: &VmName, now: Instant, out: &mut Outbox) {
-        for rejection in self.local.backoffs.asked(OWN_DAEMON, now).take(MAX_TOLD) {
+    pub(super) fn send_backoffs(&self, scheduler: &VmName, now: Instant, out: &mut Outbox) {
+        for rejection in self.local.backoffs.asked(OWN_DAEMON, now).take(MAX_BACKOFFS_SENT) {
             out.send(scheduler, Body::Rejected(Rejected::encode(&rejection)));
         }
     }
@@ -57,8 +57,8 @@
     }
 
     /// Shows which endpoints take requests of this daemon again.
-    pub(super) fn end_backoffs(&mut self, now: Instant, out: &mut Outbox) {
-        if self.next_backoff_end.is_none_or(|end| now < end) {
+    pub(super) fn expire_backoffs(&mut self, now: Instant, out: &mut Outbox) {
+        if self.next_backoff_expiry.is_none_or(|end| now < end) {
             return;
         }
         let backoffs = &self.local.backoffs;
@@ -67,12 +67,12 @@
             self.backing_off.iter().filter(|name| is_over(name)).cloned().collect();
         for endpoint in ended {
             self.backing_off.remove(&endpoint);
-            self.show(&endpoint, now, out);
+            self.publish_backoff(&endpoint, now, out);
         }
-        self.next_backoff_end = self.first_end(now);
+        self.next_backoff_expiry = self.earliest_backoff_expiry(now);
     }
 
-    fn show(&self, endpoint: &Arc<str>, now: Instant, out: &mut Outbox) {
+    fn publish_backoff(&self, endpoint: &Arc<str>, now: Instant, out: &mut Outbox) {
         let backoffs = &self.local.backoffs;
         let until = backoffs.backs_off_until(endpoint, OWN_DAEMON, now);
         out.push(Output::Backoff {
@@ -82,7 +82,7 @@
         });
     }
 
-    fn first_end(&self, now: Instant) -> Option<Instant> {
+    fn earliest_backoff_expiry(&self, now: Instant) -> Option<Instant> {
         let asked = self.local.backoffs.asked(OWN_DAEMON, now);
         asked.filter_map(|rejection| Some(now.after(rejection.retry_after?))).min()
     }
--- a/crates/core/src/node/placement_client/local.rs
+++ b/crates/core/src/node/placement_client/local.rs
@@ -23,11 +23,11 @@
             return;
         }
         self.waiting.insert(call, Waiting { req, deadline, remote: false });
-        self.decide_locally(now, out);
+        self.schedule_locally(now, out);
     }
 
     /// Takes back what waits at a scheduler that has fallen silent.
-    pub(super) fn take_over_waiting(&mut self, now: Instant, out: &mut Outbox) {
+    pub(super) fn reclaim_waiting(&mut self, now: Instant, out: &mut Outbox) {
         let remote: Vec<CallId> =
             self.waiting.iter().filter(|(_, w)| w.remote).map(|(call, _)| *call).collect();
         for call in remote {
@@ -38,7 +38,7 @@
     }
 
     /// Starts, moves and gives up what this daemon places by itself.
-    pub(super) fn decide_locally(&mut self, now: Instant, out: &mut Outbox) {
+    pub(super) fn schedule_locally(&mut self, now: Instant, out: &mut Outbox) {
         if self.scheduler.is_none() {
             for Relocation { ticket, from, to } in self.local.plan_relocations(now) {
                 out.push(Output::Move { call: CallId(ticket.number), from, to });
@@ -53,7 +53,7 @@
                         Running { req: waiting.req, endpoint: endpoint.clone(), tokens: 0 };
                     if let Some(scheduler) = &self.scheduler {
                         // It waited here since the scheduler was silent; now that one hears of it.
-                        out.send(scheduler, Body::Admit(running.admit(call)));
+                        out.send(scheduler, Body::Admit(running.admit_message(call)));
                     }
                     self.running.insert(call, running);
                     let drawn = self.local.sampled_endpoints(ticket, now);
--- a/crates/core/src/node/placement_client/mod.rs
+++ b/crates/core/src/node/placement_client/mod.rs
@@ -32,9 +32,9 @@
 };
 
 /// Interval at which token counts are passed on.
-const REPORT: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Added to a request's time in the queue before this daemon gives it up itself.
-const GRACE: Duration = Duration::from_millis(500);
+const GIVE_UP_GRACE: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
 struct Waiting {
@@ -45,8 +45,8 @@
 
 impl Waiting {
     /// Asks a scheduler for a place.
-    fn admit(&self, call: CallId, now: Instant) -> Admit {
-        admit::encode(call, &self.req, self.deadline.since(now).saturating_sub(GRACE))
+    fn admit_message(&self, call: CallId, now: Instant) -> Admit {
+        admit::encode(call, &self.req, self.deadline.since(now).saturating_sub(GIVE_UP_GRACE))
     }
 }
 
@@ -59,7 +59,7 @@
 
 impl Running {
     /// Tells a scheduler that this request already runs.
-    fn admit(&self, call: CallId) -> Admit {
+    fn admit_message(&self, call: CallId) -> Admit {
         let mut admit = admit::encode(call, &self.req, Duration::ZERO);
         admit.running_at = Some(self.endpoint.to_string());
         admit.tokens = self.tokens;
@@ -80,7 +80,7 @@
     /// Endpoints that have asked this daemon to back off, until it has shown that this is over.
     backing_off: BTreeSet<Arc<str>>,
     /// When the first endpoint takes requests of this daemon again.
-    next_backoff_end: Option<Instant>,
+    next_backoff_expiry: Option<Instant>,
 }
 
 impl PlacementClient {
@@ -95,7 +95,7 @@
             unreported: BTreeSet::new(),
             next_report: Instant::default(),
             backing_off: BTreeSet::new(),
-            next_backoff_end: None,
+            next_backoff_expiry: None,
         }
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Passes an order to move on to the request, if it still runs where the scheduler thinks.
-    pub(crate) fn order(&self, order: &Move, out: &mut Outbox) {
+    pub(crate) fn on_move(&self, order: &Move, out: &mut Outbox) {
         let call = CallId(order.number);
         let runs_there = self.running.get(&call).is_some_and(|r| *r.endpoint == *order.from);
         if runs_there {
@@ -141,7 +141,7 @@
     }
 
     /// Takes what became of a move.
-    pub(crate) fn moved(
+    pub(crate) fn on_relocated(
         &mut self,
         call: CallId,
         at: &Arc<str>,
@@ -160,7 +160,7 @@
             let moved = Moved { number: call.0, at: at.to_string(), done };
             out.send(scheduler, Body::Moved(moved));
         }
-        self.decide_locally(now, out);
+        self.schedule_locally(now, out);
     }
 
     pub(crate) fn next_tick(&self) -> Instant {
@@ -169,7 +169,7 @@
         deadlines
             .chain([self.next_report])
             .chain(local)
-            .chain(self.next_backoff_end)
+            .chain(self.next_backoff_expiry)
             .min()
             .unwrap_or(self.next_report)
     }
@@ -183,24 +183,24 @@
         out: &mut Outbox,
     ) {
         req.ticket = ticket(call);
-        let deadline = now.after(req.max_wait + GRACE);
+        let deadline = now.after(req.max_wait + GIVE_UP_GRACE);
         let remote = scheduler.is_some();
         match scheduler {
             Some(scheduler) => {
                 let waiting = Waiting { req, deadline, remote };
-                out.send(&scheduler.vm, Body::Admit(waiting.admit(call, now)));
+                out.send(&scheduler.vm, Body::Admit(waiting.admit_message(call, now)));
                 self.waiting.insert(call, waiting);
             }
             None => self.place_locally(call, req, deadline, now, out),
         }
     }
 
-    pub(crate) fn granted(&mut self, from: &VmName, grant: Grant, now: Instant, out: &mut Outbox) {
+    pub(crate) fn on_grant(&mut self, from: &VmName, grant: Grant, now: Instant, out: &mut Outbox) {
         let call = CallId(grant.number);
         let Some(waiting) = self.waiting.remove(&call) else {
             // The caller has left, or this daemon placed it itself meanwhile.
             if !self.running.contains_key(&call) {
-                out.send(from, Body::Progress(ended(call, 0)));
+                out.send(from, Body::Progress(end_message(call, 0)));
             }
             return;
         };
@@ -212,7 +212,7 @@
         out.reply(call, NodeReply::Placed(Ok(placement)));
     }
 
-    pub(crate) fn given_up(&mut self, give_up: GiveUp, out: &mut Outbox) {
+    pub(crate) fn on_give_up(&mut self, give_up: GiveUp, out: &mut Outbox) {
         let call = CallId(give_up.number);
         if self.waiting.remove(&call).is_none() {
             return;
@@ -225,13 +225,19 @@
 
     /// Takes a token count. The first is passed on at once: the prompt has been read, and the
     /// generation may be handed over.
-    pub(crate) fn progress(&mut self, call: CallId, tokens: u64, now: Instant, out: &mut Outbox) {
+    pub(crate) fn on_progress(
+        &mut self,
+        call: CallId,
+        tokens: u64,
+        now: Instant,
+        out: &mut Outbox,
+    ) {
         let Some(running) = self.running.get_mut(&call) else { return };
         let first = running.tokens == 0;
         running.tokens = tokens;
         self.local.progress(ticket(call), tokens, now);
         if self.local.has_isolated() {
-            self.decide_locally(now, out);
+            self.schedule_locally(now, out);
         }
         match &self.scheduler {
             Some(scheduler) if first => {
@@ -245,7 +251,7 @@
         }
     }
 
-    pub(crate) fn finished(
+    pub(crate) fn on_finished(
         &mut self,
         call: CallId,
         tokens: u64,
@@ -265,22 +271,22 @@
             };
             out.send(scheduler, Body::Progress(progress));
         }
-        self.decide_locally(now, out);
+        self.schedule_locally(now, out);
     }
 
     pub(crate) fn cancel(&mut self, call: CallId, now: Instant, out: &mut Outbox) {
         if let Some(waiting) = self.waiting.remove(&call) {
             self.local.cancel(ticket(call), now);
             if let (true, Some(scheduler)) = (waiting.remote, &self.scheduler) {
-                out.send(scheduler, Body::Progress(ended(call, 0)));
+                out.send(scheduler, Body::Progress(end_message(call, 0)));
             }
             return;
         }
-        self.finished(call, 0, false, now, out);
+        self.on_finished(call, 0, false, now, out);
     }
 
     /// Takes news of an endpoint; what this daemon has seen itself goes on to the scheduler.
-    pub(crate) fn health(
+    pub(crate) fn on_health(
         &mut self,
         endpoint: &Arc<str>,
         news: HealthNews,
@@ -305,13 +311,13 @@
     }
 
     /// Takes the leader's word of endpoints that are slow.
-    pub(crate) fn told_slow(&mut self, slow: &[SlowEndpoint], now: Instant) {
+    pub(crate) fn on_slow_endpoints(&mut self, slow: &[SlowEndpoint], now: Instant) {
         for SlowEndpoint { name, percent } in slow {
             self.local.endpoint_slow(name, f64::from(*percent) / 100.0, now);
         }
     }
 
-    pub(crate) fn load(&mut self, report: Report, now: Instant, out: &mut Outbox) {
+    pub(crate) fn on_load_report(&mut self, report: Report, now: Instant, out: &mut Outbox) {
         self.local.endpoint_leaving(&report.endpoint, report.leaving);
         self.local.endpoint_report(&report.endpoint, load_report(&report, now));
         if let Some(scheduler) = &self.scheduler {
@@ -328,24 +334,24 @@
         match (scheduler, &self.scheduler) {
             (None, _) => {
                 self.scheduler = None;
-                self.take_over_waiting(now, out);
+                self.reclaim_waiting(now, out);
             }
             // It was silent for a while.
-            (Some(_), None) => self.scheduler_changed(scheduler, now, out),
+            (Some(_), None) => self.on_scheduler_change(scheduler, now, out),
             (Some(_), Some(_)) => {}
         }
-        self.give_up_overdue(now, out);
-        self.end_backoffs(now, out);
-        self.decide_locally(now, out);
+        self.fail_overdue(now, out);
+        self.expire_backoffs(now, out);
+        self.schedule_locally(now, out);
         if self.next_report <= now {
-            self.next_report = now.after(REPORT);
+            self.next_report = now.after(REPORT_INTERVAL);
             self.local.backoffs.expire(now);
-            self.report(out);
+            self.report_progress(out);
         }
     }
 
     /// Tells a new scheduler what runs and what waits here.
-    pub(crate) fn scheduler_changed(
+    pub(crate) fn on_scheduler_change(
         &mut self,
         scheduler: Option<&RemoteScheduler>,
         now: Instant,
@@ -353,16 +359,16 @@
     ) {
         self.scheduler = scheduler.map(|s| s.vm.clone());
         let Some(scheduler) = &self.scheduler else { return };
-        self.tell_backoffs(scheduler, now, out);
+        self.send_backoffs(scheduler, now, out);
         for (call, running) in &self.running {
-            out.send(scheduler, Body::Admit(running.admit(*call)));
+            out.send(scheduler, Body::Admit(running.admit_message(*call)));
         }
         for (call, waiting) in self.waiting.iter().filter(|(_, w)| w.remote) {
-            out.send(scheduler, Body::Admit(waiting.admit(*call, now)));
+            out.send(scheduler, Body::Admit(waiting.admit_message(*call, now)));
         }
     }
 
-    fn give_up_overdue(&mut self, now: Instant, out: &mut Outbox) {
+    fn fail_overdue(&mut self, now: Instant, out: &mut Outbox) {
         let overdue: Vec<CallId> = self
             .waiting
             .iter()
@@ -377,7 +383,7 @@
         }
     }
 
-    fn report(&mut self, out: &mut Outbox) {
+    fn report_progress(&mut self, out: &mut Outbox) {
         let unreported = std::mem::take(&mut self.unreported);
         let Some(scheduler) = &self.scheduler else { return };
         let tokens = |call: &CallId| {
@@ -396,6 +402,6 @@
     Ticket { entry: 0, number: call.0 }
 }
 
-fn ended(call: CallId, tokens: u64) -> Progress {
+fn end_message(call: CallId, tokens: u64) -> Progress {
     Progress { ended: vec![Tokens { number: call.0, tokens }], ..Progress::default() }
 }
--- a/crates/core/src/node/suspect_tracker_tests.rs
+++ b/crates/core/src/node/suspect_tracker_tests.rs
@@ -43,7 +43,7 @@
             probe: ProbeOutcome::ConnectionRefused,
             trial: None,
         };
-        daemon.with(|suspects, cx, out| suspects.broke_off(broke_off, cx, out));
+        daemon.with(|suspects, cx, out| suspects.on_failed_attempt(broke_off, cx, out));
         daemon
     }
 
@@ -61,7 +61,7 @@
     /// The leader's answer: the end is on record.
     fn is_answered(&mut self) {
         let reply = SuspectsReply { number: CHANGE, changed: true };
-        self.with(|suspects, cx, out| suspects.recorded(OPERATION, reply, cx, out));
+        self.with(|suspects, cx, out| suspects.on_crash_recorded(OPERATION, reply, cx, out));
     }
 
     /// The leader's word to all daemons.
@@ -69,7 +69,7 @@
         let request = REQUEST.to_vec().into();
         let changes = vec![SuspectChange { request, ended: 1, in_trials: 0 }];
         let news = SuspectNews { after: 0, up_to: CHANGE, reset: false, more: false, changes };
-        self.with(|suspects, _, out| suspects.take(&news, out));
+        self.with(|suspects, _, out| suspects.on_news(&news, out));
     }
 
     /// The number of suspects that it has told last.
