--- a/crates/server/src/relay/admission.rs
+++ b/crates/server/src/relay/admission.rs
@@ -13,8 +13,8 @@
 };
 
 use super::{
-    QUEUE_PART, Relay,
-    job::{Job, rank_of},
+    QUEUE_TIME_DIVISOR, Relay,
+    job::{Job, tier_rank},
 };
 use crate::{
     edge::{ReadError, read_whole},
@@ -25,9 +25,9 @@
 const LOOK_AGAIN: Duration = Duration::from_millis(10);
 /// When to come back to a daemon without a current configuration: one that has just started
 /// has one after 0.4 s (measured after a loss of power everywhere).
-const WHEN_READY: Duration = Duration::from_millis(400);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// A caller that is sent elsewhere may come back at once: retries reach other daemons.
-const ELSEWHERE: Duration = Duration::from_millis(10);
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(10);
 
 /// A request that was refused before it was routed.
 pub(super) struct Refused {
@@ -38,7 +38,7 @@
 impl Relay {
     /// Reads a request and finds its route and workspace.
     pub(super) async fn admit(&self, head: request::Parts, body: Incoming) -> Result<Job, Refused> {
-        let arrived = Instant::now();
+        let received_at = Instant::now();
         let refused = |id: &str, error| Refused { id: id.to_owned(), error };
         check_framing(&head).map_err(|e| refused("", e))?;
         let caller = self.protocol.decode_request(&head).map_err(|e| refused("", e))?;
@@ -49,11 +49,12 @@
         let body = read_whole(body, limits.max_body as usize, limits.idle_timeout)
             .await
             .map_err(|e| refused(&id, read_error(&e)))?;
-        let most = caller.time_left.unwrap_or(self.options.config_recovery_timeout) / QUEUE_PART;
-        let most = if self.uses(Mechanism::StartPatience) { most } else { Duration::ZERO };
-        let Some(config) = self.current_config(arrived + most).await else {
+        let most =
+            caller.time_left.unwrap_or(self.options.config_recovery_timeout) / QUEUE_TIME_DIVISOR;
+        let most = if self.is_enabled(Mechanism::StartPatience) { most } else { Duration::ZERO };
+        let Some(config) = self.current_config(received_at + most).await else {
             let message = "this daemon has no configuration that is known to be current";
-            return Err(refused(&id, not_ready(message, WHEN_READY)));
+            return Err(refused(&id, not_ready(message, NOT_READY_RETRY_AFTER)));
         };
         let route = self.route(&config.config, &caller.host, head.uri.path());
         let route = route.map_err(|e| refused(&id, e))?;
@@ -61,10 +62,10 @@
         let workspace = workspace.map_err(|e| refused(&id, e))?;
         let spec = workspace.as_ref().and_then(|name| config.config.workspaces.get(name));
         let tier = spec.map(|spec| spec.tier.as_str()).or(route.spec.tier.as_deref());
-        let rank = rank_of(&config.config, tier);
+        let rank = tier_rank(&config.config, tier);
         let service = route.spec.pick(fastrand::u64(..)).to_owned();
         let limit = caller.time_left.unwrap_or(route.spec.timeout).min(route.spec.timeout);
-        let deadline = arrived + limit;
+        let deadline = received_at + limit;
         let job = Job {
             head,
             body,
@@ -74,19 +75,19 @@
             service,
             workspace,
             rank,
-            arrived,
+            received_at,
             deadline,
-            counted: None,
+            in_progress: None,
             digest: OnceCell::new(),
         };
-        self.check_may_begin(&job).map_err(|e| refused(&id, e))?;
+        self.check_not_stopping(&job).map_err(|e| refused(&id, e))?;
         Ok(job)
     }
 
     /// Refuses a generation that a stopping daemon would likely cut off when it ends, if its
     /// caller is more likely to come to another daemon. Where all entries stop in turn this refuses
     /// 6 requests a day in place of 28, and 45 streams are lost in place of 54 (8 paired days).
-    fn check_may_begin(&self, job: &Job) -> Result<(), RequestError> {
+    fn check_not_stopping(&self, job: &Job) -> Result<(), RequestError> {
         let view = self.node.view();
         let Some(left) = view.time_to_end() else { return Ok(()) };
         if job.route.spec.kind != RouteKind::Generation {
@@ -94,7 +95,7 @@
         }
         let whole = self.node.chance_to_end(&job.place_request(Vec::new(), false), left);
         let elsewhere = view.chance_elsewhere();
-        if self.uses(Mechanism::StopEstimate) && elsewhere <= whole {
+        if self.is_enabled(Mechanism::StopEstimate) && elsewhere <= whole {
             log::info!(
                 event = EventId::TakenWhileStopping.number(), id = job.caller.id.as_str(),
                 left_ms = left.as_millis() as u64, chance_whole = whole,
@@ -103,7 +104,7 @@
             );
             return Ok(());
         }
-        Err(not_ready("this daemon is stopping", ELSEWHERE))
+        Err(not_ready("this daemon is stopping", STOPPING_RETRY_AFTER))
     }
 
     /// The route of a request, if this daemon may serve it.
@@ -118,8 +119,8 @@
     /// The configuration in force if it is current, or becomes so by then.
     async fn current_config(&self, until: Instant) -> Option<Arc<ActiveConfig>> {
         loop {
-            let current = self.node.view().active_config().filter(|_| self.is_current());
-            let Some(recovers) = self.note_whether_current(current.is_some()) else {
+            let current = self.node.view().active_config().filter(|_| self.is_config_current());
+            let Some(recovers) = self.track_staleness(current.is_some()) else {
                 return current;
             };
             if until.min(recovers) <= Instant::now() {
@@ -131,26 +132,26 @@
 
     /// Keeps since when this daemon cannot confirm its configuration; returns by when it should
     /// be able to again, if it cannot now.
-    fn note_whether_current(&self, current: bool) -> Option<Instant> {
+    fn track_staleness(&self, current: bool) -> Option<Instant> {
         if current {
-            self.outdated_since.set(None);
+            self.unconfirmed_since.set(None);
             return None;
         }
-        let since = self.outdated_since.get().unwrap_or_else(Instant::now);
-        self.outdated_since.set(Some(since));
+        let since = self.unconfirmed_since.get().unwrap_or_else(Instant::now);
+        self.unconfirmed_since.set(Some(since));
         Some(since + self.options.config_recovery_timeout)
     }
 
     /// Whether the configuration in force was confirmed recently enough to run requests by
     /// it. Looked at anew before each attempt: the VM may have been suspended meanwhile.
-    fn is_current(&self) -> bool {
+    fn is_config_current(&self) -> bool {
         let confirmed = self.node.view().confirmed();
         confirmed.is_some_and(|at| self.node.now().since(at) < self.options.max_config_age)
     }
 
     /// Whether a request may still be sent to an endpoint.
-    pub(super) fn check_may_run(&self, job: &Job) -> Result<(), RequestError> {
-        let config = self.node.view().active_config().filter(|_| self.is_current());
+    pub(super) fn recheck_admission(&self, job: &Job) -> Result<(), RequestError> {
+        let config = self.node.view().active_config().filter(|_| self.is_config_current());
         let Some(config) = config else {
             let message = "no control VM has confirmed the configuration lately";
             return Err(RequestError::new(ErrorKind::NotReady, message));
--- a/crates/server/src/relay/backoff.rs
+++ b/crates/server/src/relay/backoff.rs
@@ -10,18 +10,18 @@
     units,
 };
 
-use super::{Job, Relay, call::no_endpoint, limited::AttemptKind};
+use super::{Job, Relay, call::no_endpoint_error, rate_limit::AttemptKind};
 use crate::runtime::NodeHandle;
 
 /// Pause between two looks at an endpoint that has not answered the request before.
 const LOOK_AGAIN: Duration = Duration::from_millis(10);
 
 /// The endpoints of a service, as far as they have rejected requests.
-pub(super) struct Admitted {
+pub(super) struct AdmittedEndpoints {
     /// Those that a call may be sent to; those of last resort only if there are no others.
     pub(super) endpoints: Vec<Registered>,
     /// When another one may take one.
-    more_at: Option<units::Instant>,
+    next_open_at: Option<units::Instant>,
 }
 
 impl Relay {
@@ -30,17 +30,17 @@
         if let Admission::BackedOff(_) = self.node.admission(&endpoint.id) {
             return Err("the endpoint has asked this daemon to back off".into());
         }
-        match self.known_run(endpoint) {
+        match self.current_run(endpoint) {
             Some(known) if !known.out && !known.open => {
                 Err("the endpoint takes no new work".into())
             }
-            _ => self.may_go_on(endpoint),
+            _ => self.may_resume(endpoint),
         }
     }
 
     /// Whether a generation may go on at the endpoint that has its memory.
-    pub(super) fn may_go_on(&self, endpoint: &Registered) -> Result<(), String> {
-        match self.known_run(endpoint) {
+    pub(super) fn may_resume(&self, endpoint: &Registered) -> Result<(), String> {
+        match self.current_run(endpoint) {
             None => Err("the endpoint has just ended".into()),
             Some(known) if known.out => Err("its data hall is out of service".into()),
             Some(_) => Ok(()),
@@ -49,12 +49,12 @@
 
     /// Whether an endpoint may be asked to copy generations elsewhere. One that leaves is, since they are lost
     /// otherwise.
-    pub(super) fn may_ask_for_copies(&self, endpoint: &Registered) -> bool {
+    pub(super) fn may_request_copies(&self, endpoint: &Registered) -> bool {
         let backs_off = matches!(self.node.admission(&endpoint.id), Admission::BackedOff(_));
         !backs_off || !endpoint.open
     }
 
-    fn known_run(&self, endpoint: &Registered) -> Option<Registered> {
+    fn current_run(&self, endpoint: &Registered) -> Option<Registered> {
         let known = self.node.view().endpoint(&endpoint.id)?;
         (known.born == endpoint.born).then_some(known)
     }
@@ -69,7 +69,7 @@
         loop {
             let open = self.open_endpoints(job);
             if open.is_empty() {
-                return Err(no_endpoint(self, &job.service));
+                return Err(no_endpoint_error(self, &job.service));
             }
             let admitted = self.admitted(open, which, tried);
             if !admitted.endpoints.is_empty() {
@@ -85,8 +85,8 @@
         endpoints: Vec<Registered>,
         which: AttemptKind,
         tried: &[Arc<str>],
-    ) -> Admitted {
-        let (mut open, mut last_resort, mut more_at) = (Vec::new(), Vec::new(), None);
+    ) -> AdmittedEndpoints {
+        let (mut open, mut last_resort, mut next_open_at) = (Vec::new(), Vec::new(), None);
         for endpoint in endpoints {
             if which == AttemptKind::Retry && tried.contains(&endpoint.id) {
                 continue;
@@ -103,10 +103,11 @@
                 Admission::Busy => self.node.now().after(LOOK_AGAIN),
                 Admission::BackedOff(until) => until,
             };
-            more_at = Some(more_at.map_or(opens_at, |at: units::Instant| at.min(opens_at)));
+            next_open_at =
+                Some(next_open_at.map_or(opens_at, |at: units::Instant| at.min(opens_at)));
         }
         let endpoints = if open.is_empty() { last_resort } else { open };
-        Admitted { endpoints, more_at }
+        AdmittedEndpoints { endpoints, next_open_at }
     }
 
     /// Waits until an endpoint may take a call, if the answer then still comes in time; refuses it at once
@@ -115,10 +116,10 @@
         &self,
         job: &Job,
         which: AttemptKind,
-        admitted: &Admitted,
+        admitted: &AdmittedEndpoints,
     ) -> Result<(), RequestError> {
         let now = self.node.now();
-        let wait = admitted.more_at.map_or(Duration::MAX, |at| at.since(now));
+        let wait = admitted.next_open_at.map_or(Duration::MAX, |at| at.since(now));
         if which == AttemptKind::First && wait <= self.max_queue_time(job) {
             tokio::time::sleep(wait.max(Duration::from_millis(1))).await;
             return Ok(());
@@ -139,16 +140,16 @@
     }
 
     /// Counts a call as sent to an endpoint that has rejected others lately; nothing to count elsewhere.
-    pub(super) fn count_unanswered(&self, endpoint: &Arc<str>) -> Option<Unanswered> {
-        let mut counted = None;
+    pub(super) fn track_unanswered(&self, endpoint: &Arc<str>) -> Option<UnansweredGuard> {
+        let mut in_progress = None;
         self.node.with_backoffs(|backoffs, now| {
             if backoffs.started_at(endpoint).is_some() {
                 backoffs.on_sent(endpoint, now);
-                counted = Some(now);
+                in_progress = Some(now);
             }
         });
-        let sent = counted?;
-        Some(Unanswered {
+        let sent = in_progress?;
+        Some(UnansweredGuard {
             node: self.node.clone(),
             endpoint: endpoint.clone(),
             sent,
@@ -158,23 +159,23 @@
 }
 
 /// Counts a call as not answered while it lives.
-pub(super) struct Unanswered {
+pub(super) struct UnansweredGuard {
     node: NodeHandle,
     endpoint: Arc<str>,
     sent: units::Instant,
     answered: bool,
 }
 
-impl Unanswered {
+impl UnansweredGuard {
     /// Notes that the endpoint has answered.
     pub(super) fn answered(mut self) {
         self.answered = true;
     }
 }
 
-impl Drop for Unanswered {
+impl Drop for UnansweredGuard {
     fn drop(&mut self) {
-        let Unanswered { endpoint, sent, answered, .. } = self;
+        let UnansweredGuard { endpoint, sent, answered, .. } = self;
         self.node.with_backoffs(|backoffs, now| backoffs.on_end(endpoint, *sent, *answered, now));
     }
 }
--- a/crates/server/src/relay/call.rs
+++ b/crates/server/src/relay/call.rs
@@ -14,8 +14,9 @@
 };
 
 use super::{
-    Job, MAX_REJECTIONS, RejectionReason, Relay, ResponseClass, ended::Awaited, job::GoOn,
-    limited::AttemptKind, loads::Outcome, no_answer, quarantine_turn::QuarantineTurn,
+    Job, MAX_REJECTIONS, RejectionReason, Relay, ResponseClass, failed_attempt::AttemptGuard,
+    job::ResumeFrom, load_balancer::Outcome, no_response_error, quarantine_turn::QuarantineTurn,
+    rate_limit::AttemptKind,
 };
 use crate::{
     edge::{self, Body, LocalFuture},
@@ -25,14 +26,14 @@
 };
 
 /// Endpoints that a call is not sent to after all before its caller is told so.
-const MAX_WITHHELD: usize = 16;
+const MAX_WITHHELD_ATTEMPTS: usize = 16;
 /// Largest answer that is held until it is whole.
-const MAX_ANSWER: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// How an attempt ended.
-enum End {
+enum AttemptEnd {
     /// The endpoint's whole answer.
-    Answer { head: response::Parts, body: Bytes, success: bool },
+    Response { head: response::Parts, body: Bytes, success: bool },
     /// It was not sent: the endpoint takes nothing new.
     Withheld(String),
     /// The request certainly did not run there.
@@ -43,16 +44,18 @@
     Refused(RequestError),
 }
 
-impl End {
+impl AttemptEnd {
     /// Its name and details for a line of the log.
     fn describe(&self) -> (&'static str, String) {
         match self {
-            End::Answer { head, success: true, .. } => ("answered", head.status.to_string()),
-            End::Answer { head, .. } => ("failed", head.status.to_string()),
-            End::Withheld(problem) => ("withheld", problem.clone()),
-            End::NotRun(problem) => ("not_run", problem.clone()),
-            End::Unknown(problem) => ("unknown", problem.clone()),
-            End::Refused(error) => ("refused", error.message.clone()),
+            AttemptEnd::Response { head, success: true, .. } => {
+                ("answered", head.status.to_string())
+            }
+            AttemptEnd::Response { head, .. } => ("failed", head.status.to_string()),
+            AttemptEnd::Withheld(error) => ("withheld", error.clone()),
+            AttemptEnd::NotRun(error) => ("not_run", error.clone()),
+            AttemptEnd::Unknown(error) => ("unknown", error.clone()),
+            AttemptEnd::Refused(error) => ("refused", error.message.clone()),
         }
     }
 }
@@ -63,7 +66,7 @@
     match call.run().await {
         Ok((head, body)) => {
             let cause = if head.status.is_success() { "answered" } else { "endpoint_failed" };
-            job.ended(&relay.metrics, cause, head.status.as_str());
+            job.log_end(&relay.metrics, cause, head.status.as_str());
             relay.answer(&head, edge::full(body))
         }
         Err(error) => relay.fail(&job, &error),
@@ -73,16 +76,16 @@
 struct Call<'a> {
     relay: &'a Relay,
     job: &'a Job,
-    running: FuturesUnordered<LocalFuture<'a, End>>,
+    running: FuturesUnordered<LocalFuture<'a, AttemptEnd>>,
     /// Endpoints that the call was sent to.
     tried: Rc<RefCell<Vec<Arc<str>>>>,
     /// Attempts that may have run or still may.
-    starts: u32,
+    attempts: u32,
     rejections: u32,
     /// A whole answer of an endpoint that failed, for when nothing better comes.
-    failure: Option<(response::Parts, Bytes)>,
+    failed_response: Option<(response::Parts, Bytes)>,
     /// What is told when no answer came.
-    problem: String,
+    last_error: String,
 }
 
 impl<'a> Call<'a> {
@@ -92,41 +95,41 @@
             job,
             running: FuturesUnordered::new(),
             tried: Rc::default(),
-            starts: 0,
+            attempts: 0,
             rejections: 0,
-            failure: None,
-            problem: String::new(),
+            failed_response: None,
+            last_error: String::new(),
         }
     }
 
     async fn run(&mut self) -> Result<(response::Parts, Bytes), RequestError> {
-        self.start(AttemptKind::First);
+        self.start_attempt(AttemptKind::First);
         let deadline = sleep_until(self.job.deadline);
         let mut deadline = std::pin::pin!(deadline);
         // One that may be repeated and takes longer than the others explain is sent to a second
         // endpoint as well.
-        let unusual_after = self.relay.unusual_after(&self.job.service);
-        let second = tokio::time::sleep(unusual_after.unwrap_or_default());
-        let mut second = std::pin::pin!(second);
-        let hedges = self.is_repeatable() && self.relay.uses(Mechanism::SecondAttempts);
-        let mut hedged = !hedges || unusual_after.is_none();
+        let hedge_delay = self.relay.hedge_delay(&self.job.service);
+        let hedge_timer = tokio::time::sleep(hedge_delay.unwrap_or_default());
+        let mut hedge_timer = std::pin::pin!(hedge_timer);
+        let may_hedge = self.is_repeatable() && self.relay.is_enabled(Mechanism::SecondAttempts);
+        let mut hedged = !may_hedge || hedge_delay.is_none();
         loop {
             tokio::select! {
                 Some(end) = self.running.next() => {
-                    if let Some(answer) = self.take(end)? {
+                    if let Some(answer) = self.on_attempt_end(end)? {
                         return Ok(answer);
                     }
                 }
-                () = second.as_mut(), if !hedged => {
+                () = hedge_timer.as_mut(), if !hedged => {
                     hedged = true;
                     // Of a suspect one try runs at a time, and a second one would wait for the first. One that
                     // was not sent yet is not late at its endpoint.
                     let is_sent = !self.tried.borrow().is_empty();
                     if is_sent && !self.relay.is_suspect(self.job) {
-                        self.start_another();
+                        self.start_retry();
                     }
                 }
-                () = deadline.as_mut() => return Err(no_answer(self.starts, "the time is over")),
+                () = deadline.as_mut() => return Err(no_response_error(self.attempts, "the time is over")),
             }
         }
     }
@@ -136,57 +139,60 @@
     }
 
     /// Takes the end of an attempt; returns the final answer if it is one.
-    fn take(&mut self, end: End) -> Result<Option<(response::Parts, Bytes)>, RequestError> {
+    fn on_attempt_end(
+        &mut self,
+        end: AttemptEnd,
+    ) -> Result<Option<(response::Parts, Bytes)>, RequestError> {
         match end {
-            End::Answer { head, body, success: true } => return Ok(Some((head, body))),
-            End::Answer { head, body, success: false } => {
+            AttemptEnd::Response { head, body, success: true } => return Ok(Some((head, body))),
+            AttemptEnd::Response { head, body, success: false } => {
                 if !self.is_repeatable() {
                     return Ok(Some((head, body)));
                 }
-                self.failure = Some((head, body));
-                self.start_another();
+                self.failed_response = Some((head, body));
+                self.start_retry();
             }
-            End::NotRun(problem) | End::Withheld(problem) => {
-                self.starts -= 1;
+            AttemptEnd::NotRun(error) | AttemptEnd::Withheld(error) => {
+                self.attempts -= 1;
                 self.rejections += 1;
-                self.problem = problem;
+                self.last_error = error;
                 if self.rejections < MAX_REJECTIONS {
-                    self.start_another();
+                    self.start_retry();
                 }
             }
-            End::Unknown(problem) => {
-                self.problem = problem;
+            AttemptEnd::Unknown(error) => {
+                self.last_error = error;
                 if self.is_repeatable() {
-                    self.start_another();
+                    self.start_retry();
                 }
             }
-            End::Refused(error) => {
-                self.starts -= 1;
-                if self.starts == 0 {
+            AttemptEnd::Refused(error) => {
+                self.attempts -= 1;
+                if self.attempts == 0 {
                     return Err(error);
                 }
-                self.problem = error.message;
+                self.last_error = error.message;
             }
         }
         if !self.running.is_empty() {
             return Ok(None);
         }
-        match self.failure.take() {
+        match self.failed_response.take() {
             Some(answer) => Ok(Some(answer)),
-            None => Err(no_answer(self.starts, &self.problem)),
+            None => Err(no_response_error(self.attempts, &self.last_error)),
         }
     }
 
     /// Starts another attempt if the route, the budget and the endpoints allow it.
-    fn start_another(&mut self) {
-        if self.job.route.spec.max_attempts <= self.starts || self.job.time_left().is_zero() {
+    fn start_retry(&mut self) {
+        if self.job.route.spec.max_attempts <= self.attempts || self.job.time_left().is_zero() {
             return;
         }
-        if self.relay.check_may_run(self.job).is_err() {
+        if self.relay.recheck_admission(self.job).is_err() {
             return;
         }
-        if self.has_untried() && self.relay.may_repeat(&self.job.service) {
-            self.start(AttemptKind::Retry);
+        if self.has_untried() && self.relay.try_acquire_retry(&self.job.service) {
+            self.start_attempt(AttemptKind::Retry);
         }
     }
 
@@ -197,15 +203,15 @@
         !admitted.endpoints.is_empty()
     }
 
-    fn start(&mut self, which: AttemptKind) {
-        self.starts += 1;
-        let attempt = attempt(self.relay, self.job, which, self.tried.clone());
+    fn start_attempt(&mut self, kind: AttemptKind) {
+        self.attempts += 1;
+        let attempt = attempt(self.relay, self.job, kind, self.tried.clone());
         self.running.push(Box::pin(attempt));
     }
 }
 
 /// The error for a call to a service that no endpoint serves now.
-pub(super) fn no_endpoint(relay: &Relay, service: &str) -> RequestError {
+pub(super) fn no_endpoint_error(relay: &Relay, service: &str) -> RequestError {
     let view = relay.node.view();
     if !view.open_endpoints(service).is_empty() {
         // They are cold, and bear no more for now.
@@ -223,65 +229,66 @@
 async fn attempt(
     relay: &Relay,
     job: &Job,
-    which: AttemptKind,
+    kind: AttemptKind,
     tried: Rc<RefCell<Vec<Arc<str>>>>,
-) -> End {
+) -> AttemptEnd {
     loop {
-        match attempt_once(relay, job, which, &tried).await {
-            End::Withheld(problem) if MAX_WITHHELD <= tried.borrow().len() => {
-                return End::NotRun(problem);
+        match try_once(relay, job, kind, &tried).await {
+            AttemptEnd::Withheld(error) if MAX_WITHHELD_ATTEMPTS <= tried.borrow().len() => {
+                return AttemptEnd::NotRun(error);
             }
-            End::Withheld(_) => {}
+            AttemptEnd::Withheld(_) => {}
             end => return end,
         }
     }
 }
 
-async fn attempt_once(
+async fn try_once(
     relay: &Relay,
     job: &Job,
-    which: AttemptKind,
+    kind: AttemptKind,
     tried: &RefCell<Vec<Arc<str>>>,
-) -> End {
+) -> AttemptEnd {
     let mut turn = match relay.quarantine_turn(job).await {
         Ok(turn) => turn,
-        Err(error) => return End::Refused(error),
+        Err(error) => return AttemptEnd::Refused(error),
     };
-    let tried_before = tried.borrow().clone();
-    let endpoint = match relay.endpoint_for(job, which, &tried_before).await {
+    let already_tried = tried.borrow().clone();
+    let endpoint = match relay.select_endpoint(job, kind, &already_tried).await {
         Ok(endpoint) => endpoint,
-        Err(error) => return End::Refused(error),
+        Err(error) => return AttemptEnd::Refused(error),
     };
     tried.borrow_mut().push(endpoint.id.clone());
     // It may have waited for its turn.
-    if let Err(error) = relay.check_may_run(job) {
-        return End::Refused(error);
+    if let Err(error) = relay.recheck_admission(job) {
+        return AttemptEnd::Refused(error);
     }
     let began = Instant::now();
-    let inputs = relay.inputs();
-    let own_running = relay.loads.running(&endpoint.id);
-    let running = relay.loads.begin(&endpoint.id, relay.cold_rule(job).as_ref());
-    let unanswered = relay.count_unanswered(&endpoint.id);
-    let awaited = Awaited::begin(relay, job, &turn, &endpoint);
-    let Sent { end, outcome, signals } = ask(relay, job, &turn, &endpoint).await;
-    awaited.end();
+    let context = relay.decision_context();
+    let own_running = relay.load_balancer.in_flight(&endpoint.id);
+    let running =
+        relay.load_balancer.start_request(&endpoint.id, relay.cold_start_policy(job).as_ref());
+    let unanswered = relay.track_unanswered(&endpoint.id);
+    let guard = AttemptGuard::new(relay, job, &turn, &endpoint);
+    let AttemptReport { end, outcome, signals } = send(relay, job, &turn, &endpoint).await;
+    guard.complete();
     drop(running);
-    if let (Some(unanswered), End::Answer { .. }) = (unanswered, &end) {
+    if let (Some(unanswered), AttemptEnd::Response { .. }) = (unanswered, &end) {
         unanswered.answered();
     }
-    if !matches!(end, End::Withheld(_)) {
-        relay.loads.record_outcome(&endpoint.id, outcome);
+    if !matches!(end, AttemptEnd::Withheld(_)) {
+        relay.load_balancer.record_outcome(&endpoint.id, outcome);
     }
     if outcome == Outcome::Success {
-        relay.note_latency(&job.service, began.elapsed());
-        relay.answered_whole(job, &mut turn);
+        relay.record_latency(&job.service, began.elapsed());
+        relay.on_response_complete(job, &mut turn);
     }
     let (name, detail) = end.describe();
     relay.metrics.attempt(&job.service, name);
     log::info!(
         event = EventId::AttemptEnded.number(), id = job.caller.id.as_str(),
         endpoint = &*endpoint.id, end = name, detail = detail.as_str(),
-        config = inputs.config, config_age_ms = inputs.config_age_ms,
+        config = context.config, config_age_ms = context.config_age_ms,
         sequence = endpoint.sequence, own_running = own_running,
         limit = signals.describe_limit().as_str(),
         backoff_ms = signals.describe_backoff().as_str(), leaving = signals.is_leaving(),
@@ -292,67 +299,76 @@
 }
 
 /// What became of an attempt that was sent.
-struct Sent {
-    end: End,
+struct AttemptReport {
+    end: AttemptEnd,
     /// How well the endpoint did.
     outcome: Outcome,
     /// What it says of itself.
     signals: Signals,
 }
 
-impl Sent {
+impl AttemptReport {
     /// One without an answer that the endpoint gave to it.
-    fn new(end: End, outcome: Outcome) -> Sent {
-        Sent { end, outcome, signals: Signals::default() }
+    fn new(end: AttemptEnd, outcome: Outcome) -> AttemptReport {
+        AttemptReport { end, outcome, signals: Signals::default() }
     }
 }
 
 /// Sends the request and waits for the whole answer.
-async fn ask(relay: &Relay, job: &Job, turn: &QuarantineTurn, endpoint: &Registered) -> Sent {
+async fn send(
+    relay: &Relay,
+    job: &Job,
+    turn: &QuarantineTurn,
+    endpoint: &Registered,
+) -> AttemptReport {
     let protocol = &*relay.protocol;
-    let req = job.request(protocol, &endpoint.id, endpoint.address, &GoOn::default());
+    let req = job.request(protocol, &endpoint.id, endpoint.address, &ResumeFrom::default());
     let connect_timeout = relay.options.connect_timeout.min(job.time_left());
-    let asked = relay.node.now();
+    let sent_at = relay.node.now();
     let may_send = || relay.may_send(endpoint);
     let opened = exchange_if(endpoint.address, req, connect_timeout, may_send).await;
     let open = match opened {
         Ok(open) => open,
-        Err(SendError::Withheld(problem)) => {
-            return Sent::new(End::Withheld(problem), Outcome::Error);
+        Err(SendError::Withheld(error)) => {
+            return AttemptReport::new(AttemptEnd::Withheld(error), Outcome::Error);
         }
-        Err(SendError::NotSent(problem)) => {
-            return Sent::new(End::NotRun(problem), Outcome::Unreachable);
+        Err(SendError::NotSent(error)) => {
+            return AttemptReport::new(AttemptEnd::NotRun(error), Outcome::Unreachable);
         }
-        Err(SendError::Lost(problem)) => {
-            relay.broke_off(job, turn, endpoint, 0).await;
-            return Sent::new(End::Unknown(problem), Outcome::Unreachable);
+        Err(SendError::Lost(error)) => {
+            relay.on_attempt_failed(job, turn, endpoint, 0).await;
+            return AttemptReport::new(AttemptEnd::Unknown(error), Outcome::Unreachable);
         }
     };
     let success = match protocol.classify_response(&job.caller.id, &open.head) {
         ResponseClass::Executed { success } => success,
         ResponseClass::Rejected(RejectionReason::Overloaded) => {
-            let signals = relay.on_rejection(&job.service, endpoint, asked, &open.head);
-            let end = End::NotRun("the endpoint is full".into());
-            return Sent { end, outcome: Outcome::Error, signals };
+            let signals = relay.on_rejection(&job.service, endpoint, sent_at, &open.head);
+            let end = AttemptEnd::NotRun("the endpoint is full".into());
+            return AttemptReport { end, outcome: Outcome::Error, signals };
         }
         ResponseClass::Rejected(RejectionReason::WrongEndpoint) => {
-            let end = End::NotRun("another endpoint has the address".into());
-            return Sent::new(end, Outcome::Unreachable);
+            let end = AttemptEnd::NotRun("another endpoint has the address".into());
+            return AttemptReport::new(end, Outcome::Unreachable);
         }
-        ResponseClass::Invalid(problem) => {
-            relay.on_own_answer(&job.service, endpoint, asked, &open.head);
-            return Sent::new(End::Unknown(problem.into()), Outcome::Error);
+        ResponseClass::Invalid(error) => {
+            relay.on_control_response(&job.service, endpoint, sent_at, &open.head);
+            return AttemptReport::new(AttemptEnd::Unknown(error.into()), Outcome::Error);
         }
     };
-    let signals = relay.on_answer(&job.service, endpoint, asked, &open.head);
-    match open.body.collect(MAX_ANSWER).await {
+    let signals = relay.on_response(&job.service, endpoint, sent_at, &open.head);
+    match open.body.collect(MAX_RESPONSE_BYTES).await {
         Ok(body) => {
             let outcome = if success { Outcome::Success } else { Outcome::Error };
-            Sent { end: End::Answer { head: open.head, body, success }, outcome, signals }
+            AttemptReport {
+                end: AttemptEnd::Response { head: open.head, body, success },
+                outcome,
+                signals,
+            }
         }
-        Err(problem) => {
-            relay.broke_off(job, turn, endpoint, 0).await;
-            Sent { end: End::Unknown(problem), outcome: Outcome::Error, signals }
+        Err(error) => {
+            relay.on_attempt_failed(job, turn, endpoint, 0).await;
+            AttemptReport { end: AttemptEnd::Unknown(error), outcome: Outcome::Error, signals }
         }
     }
 }
--- a/crates/server/src/relay/source.rs
+++ b/crates/server/src/relay/event_stream.rs
@@ -3,43 +3,43 @@
 use crate::upstream::{AnswerBody, Event, EventSplitter};
 
 /// What comes next on a stream.
-pub(super) enum Step {
+pub(super) enum StreamItem {
     /// An event.
     Event(Event),
     /// The stream ended as it should.
-    Ended,
+    End,
     /// It broke off.
-    Lost(String),
+    Error(String),
 }
 
 /// Events on the connection to one endpoint.
-pub(super) struct Source {
+pub(super) struct EventStream {
     body: AnswerBody,
     splitter: EventSplitter,
 }
 
-impl Source {
-    pub(super) fn new(body: AnswerBody) -> Source {
-        Source { body, splitter: EventSplitter::default() }
+impl EventStream {
+    pub(super) fn new(body: AnswerBody) -> EventStream {
+        EventStream { body, splitter: EventSplitter::default() }
     }
 
     /// The next step. Nothing is lost when the future is dropped.
-    pub(super) async fn next(&mut self) -> Step {
+    pub(super) async fn next(&mut self) -> StreamItem {
         loop {
             if let Some(event) = self.splitter.next_event() {
-                return Step::Event(event);
+                return StreamItem::Event(event);
             }
             match self.body.next().await {
                 Some(Ok(bytes)) => {
-                    if let Err(problem) = self.splitter.push(&bytes) {
-                        return Step::Lost(problem);
+                    if let Err(error) = self.splitter.push(&bytes) {
+                        return StreamItem::Error(error);
                     }
                 }
-                Some(Err(problem)) => return Step::Lost(problem),
+                Some(Err(error)) => return StreamItem::Error(error),
                 None if self.splitter.has_rest() => {
-                    return Step::Lost("the stream ended in the middle of an event".into());
+                    return StreamItem::Error("the stream ended in the middle of an event".into());
                 }
-                None => return Step::Ended,
+                None => return StreamItem::End,
             }
         }
     }
--- a/crates/server/src/relay/ended.rs
+++ b/crates/server/src/relay/failed_attempt.rs
@@ -27,19 +27,19 @@
 
 /// How long an endpoint is watched that takes connections after an attempt broke off: far longer than a
 /// process takes from closing its first connection to closing its last.
-const WATCHED: Duration = Duration::from_secs(2);
+const WATCH_DURATION: Duration = Duration::from_secs(2);
 /// Connections of one endpoint that may be closed while it is watched; one that closes more does so by
 /// habit.
-const LOOKS: usize = 4;
+const MAX_WATCH_PROBES: usize = 4;
 /// Endpoints that one daemon watches at a time, with a connection each. The ends of others are known by
 /// their heartbeats.
-pub(super) const MOST_WATCHED: usize = 256;
+pub(super) const MAX_WATCHED_ENDPOINTS: usize = 256;
 
 impl Relay {
     /// Finds out whether an endpoint has ended, after an attempt there broke off when its caller had
     /// so many events. Before this is known the request is not sent again: the next attempt may be a
     /// trial.
-    pub(super) async fn broke_off(
+    pub(super) async fn on_attempt_failed(
         &self,
         job: &Job,
         turn: &QuarantineTurn,
@@ -47,21 +47,21 @@
         events: u64,
     ) {
         let limit = self.options.connect_timeout;
-        let (after, connection) = look_at(endpoint.address, limit).await;
-        self.metrics.broke_off(&job.service, name(after));
+        let (after, connection) = probe(endpoint.address, limit).await;
+        self.metrics.broke_off(&job.service, outcome_name(after));
         log::info!(
             event = EventId::EndedUnder.number(), id = job.caller.id.as_str(),
             request = job.digest(self).to_string().as_str(), endpoint = &*endpoint.id,
-            born = endpoint.born, events = events, end = name(after),
+            born = endpoint.born, events = events, end = outcome_name(after),
             trial = turn.trial.is_some();
             "an attempt broke off"
         );
-        let broke_off = self.describe(job, turn, endpoint, after);
+        let broke_off = self.failed_attempt(job, turn, endpoint, after);
         self.node.input(Input::FailedAttempt(broke_off.clone()));
         let Some(connection) = connection else { return };
         // Without a permit there are many already.
-        let Ok(permit) = self.watched.clone().try_acquire_owned() else { return };
-        let watch = Watch {
+        let Ok(permit) = self.watch_permits.clone().try_acquire_owned() else { return };
+        let watch = EndpointWatch {
             node: self.node.clone(),
             metrics: self.metrics.clone(),
             service: job.service.clone(),
@@ -73,7 +73,7 @@
         tokio::task::spawn_local(watch.run(connection));
     }
 
-    fn describe(
+    fn failed_attempt(
         &self,
         job: &Job,
         turn: &QuarantineTurn,
@@ -91,7 +91,7 @@
 }
 
 /// An endpoint that took a connection after an attempt there had broken off.
-struct Watch {
+struct EndpointWatch {
     node: NodeHandle,
     metrics: Rc<Metrics>,
     service: String,
@@ -101,24 +101,24 @@
     _permit: OwnedSemaphorePermit,
 }
 
-impl Watch {
+impl EndpointWatch {
     /// Tells the node if the endpoint ends soon.
     async fn run(self, mut connection: TcpStream) {
-        let until = Instant::now() + WATCHED;
-        for _ in 0..LOOKS {
-            if timeout_at(until, closes(connection)).await.is_err() {
+        let until = Instant::now() + WATCH_DURATION;
+        for _ in 0..MAX_WATCH_PROBES {
+            if timeout_at(until, wait_for_close(connection)).await.is_err() {
                 return;
             }
-            connection = match look_at(self.address, self.limit).await {
+            connection = match probe(self.address, self.limit).await {
                 // It is there, and closed only the connection.
                 (_, Some(next)) => next,
-                (ProbeOutcome::ConnectionRefused, None) => return self.tell(),
+                (ProbeOutcome::ConnectionRefused, None) => return self.report_ended(),
                 (_, None) => return,
             };
         }
     }
 
-    fn tell(self) {
+    fn report_ended(self) {
         self.metrics.broke_off(&self.service, "closed");
         log::info!(
             event = EventId::EndedUnder.number(),
@@ -133,48 +133,48 @@
 }
 
 /// Waits until the other side closes a connection on which it was asked nothing.
-async fn closes(mut connection: TcpStream) {
-    let mut unasked = [0; 64];
-    while connection.read(&mut unasked).await.is_ok_and(|bytes| 0 < bytes) {}
+async fn wait_for_close(mut connection: TcpStream) {
+    let mut unsolicited = [0; 64];
+    while connection.read(&mut unsolicited).await.is_ok_and(|bytes| 0 < bytes) {}
 }
 
 /// An attempt whose end is awaited. One that is given up, since its time is over or its caller has left, may
 /// have ended an endpoint that nobody looks at any more: the node waits for a while for word of that.
-pub(super) struct Awaited<'a> {
+pub(super) struct AttemptGuard<'a> {
     relay: &'a Relay,
     job: &'a Job,
     turn: &'a QuarantineTurn,
     endpoint: &'a Registered,
-    has_ended: bool,
+    is_complete: bool,
 }
 
-impl<'a> Awaited<'a> {
-    pub(super) fn begin(
+impl<'a> AttemptGuard<'a> {
+    pub(super) fn new(
         relay: &'a Relay,
         job: &'a Job,
         turn: &'a QuarantineTurn,
         endpoint: &'a Registered,
-    ) -> Awaited<'a> {
-        Awaited { relay, job, turn, endpoint, has_ended: false }
+    ) -> AttemptGuard<'a> {
+        AttemptGuard { relay, job, turn, endpoint, is_complete: false }
     }
 
     /// The attempt has come to its end.
-    pub(super) fn end(mut self) {
-        self.has_ended = true;
+    pub(super) fn complete(mut self) {
+        self.is_complete = true;
     }
 }
 
-impl Drop for Awaited<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
-        if !self.has_ended {
-            let Awaited { relay, job, turn, endpoint, .. } = self;
-            let broke_off = relay.describe(job, turn, endpoint, ProbeOutcome::NoAnswer);
+        if !self.is_complete {
+            let AttemptGuard { relay, job, turn, endpoint, .. } = self;
+            let broke_off = relay.failed_attempt(job, turn, endpoint, ProbeOutcome::NoAnswer);
             relay.node.input(Input::FailedAttempt(broke_off));
         }
     }
 }
 
-fn name(after: ProbeOutcome) -> &'static str {
+fn outcome_name(after: ProbeOutcome) -> &'static str {
     match after {
         ProbeOutcome::ConnectionRefused => "ended",
         ProbeOutcome::Connected => "alive",
@@ -183,7 +183,7 @@
 }
 
 /// What an endpoint's address says now, and the connection if it takes one.
-async fn look_at(address: SocketAddr, limit: Duration) -> (ProbeOutcome, Option<TcpStream>) {
+async fn probe(address: SocketAddr, limit: Duration) -> (ProbeOutcome, Option<TcpStream>) {
     match timeout(limit, socket::connect(address)).await {
         Ok(Ok(connection)) => (ProbeOutcome::Connected, Some(connection)),
         Ok(Err(_)) => (ProbeOutcome::ConnectionRefused, None),
--- a/crates/server/src/relay/generation.rs
+++ b/crates/server/src/relay/generation.rs
@@ -16,13 +16,13 @@
 
 use super::{
     Job, MAX_REJECTIONS, RejectionReason, Relay, ResponseClass,
-    ended::Awaited,
-    job::GoOn,
-    no_answer,
+    event_stream::{EventStream, StreamItem},
+    failed_attempt::AttemptGuard,
+    job::ResumeFrom,
+    local_placement::{NoCapacity, confirm_placement},
+    no_response_error,
     quarantine_turn::QuarantineTurn,
-    source::{Source, Step},
-    stream::Pump,
-    unscheduled::{NoRoom, confirm},
+    stream::StreamForwarder,
 };
 use crate::{
     edge::{self, Body},
@@ -33,21 +33,21 @@
 };
 
 /// Endpoints that a request is not sent to after all, one after the other, before its caller is told so.
-pub(super) const MAX_WITHHELD: usize = 16;
+pub(super) const MAX_WITHHELD_ATTEMPTS: usize = 16;
 /// Events that may wait for a slow caller.
-const MAX_EVENTS: usize = 64;
+const MAX_BUFFERED_EVENTS: usize = 64;
 
 /// An attempt that brought an answer.
 pub(super) enum Opened {
     /// The stream, with its first event unless it ended without any.
-    Stream { head: response::Parts, source: Source, first: Option<Event> },
+    Stream { head: response::Parts, event_stream: EventStream, first: Option<Event> },
     /// The endpoint failed; this is its whole answer.
     Failed { head: response::Parts, body: bytes::Bytes },
 }
 
 /// Why an attempt brought none.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Lost {
+pub(super) enum OpenError {
     /// It was not sent: the endpoint takes nothing new.
     Withheld(String),
     /// The request certainly did not run there.
@@ -59,15 +59,19 @@
 /// Serves one generation.
 pub(super) async fn serve(relay: Rc<Relay>, job: Job) -> Response<Body> {
     match start(&relay, &job).await {
-        Ok(Started { placed, turn, opened: Opened::Stream { head, source, first } }) => {
-            let (tx, rx) = mpsc::channel(MAX_EVENTS);
+        Ok(StartedGeneration {
+            placed,
+            turn,
+            opened: Opened::Stream { head, event_stream, first },
+        }) => {
+            let (tx, rx) = mpsc::channel(MAX_BUFFERED_EVENTS);
             let answer = relay.answer(&head, edge::streamed(rx));
-            let pump = Pump::new(relay, job, placed, turn, source, tx);
-            tokio::task::spawn_local(pump.run(first));
+            let forwarder = StreamForwarder::new(relay, job, placed, turn, event_stream, tx);
+            tokio::task::spawn_local(forwarder.run(first));
             answer
         }
-        Ok(Started { opened: Opened::Failed { head, body }, .. }) => {
-            job.ended(&relay.metrics, "endpoint_failed", head.status.as_str());
+        Ok(StartedGeneration { opened: Opened::Failed { head, body }, .. }) => {
+            job.log_end(&relay.metrics, "endpoint_failed", head.status.as_str());
             relay.answer(&head, edge::full(body))
         }
         Err(error) => relay.fail(&job, &error),
@@ -75,66 +79,71 @@
 }
 
 /// A generation that has a place and an answer.
-struct Started {
+struct StartedGeneration {
     placed: Placed,
     turn: QuarantineTurn,
     opened: Opened,
 }
 
-async fn start(relay: &Relay, job: &Job) -> Result<Started, RequestError> {
+async fn start(relay: &Relay, job: &Job) -> Result<StartedGeneration, RequestError> {
     let spec = &job.route.spec;
     let mut avoid: Vec<Arc<str>> = Vec::new();
-    let mut starts = 0;
+    let mut attempts = 0;
     let mut rejections = 0;
     loop {
-        let not_placed =
-            |e: RequestError| if starts == 0 { e } else { no_answer(starts, &e.message) };
-        let turn = relay.quarantine_turn(job).await.map_err(not_placed)?;
-        let placed = place(relay, job, avoid.clone(), turn.is_apart());
+        let placement_error = |e: RequestError| {
+            if attempts == 0 { e } else { no_response_error(attempts, &e.message) }
+        };
+        let turn = relay.quarantine_turn(job).await.map_err(placement_error)?;
+        let placed = acquire_placement(relay, job, avoid.clone(), turn.is_isolated());
         let placed = until(job.deadline, placed).await;
-        let placed = placed.map_err(|_| no_answer(starts, "the time is over"))?;
-        let (placed, reservation) = placed.map_err(not_placed)?;
-        relay.check_may_run(job)?;
-        if relay.must_ask_again(job, &turn) {
+        let placed = placed.map_err(|_| no_response_error(attempts, "the time is over"))?;
+        let (placed, reservation) = placed.map_err(placement_error)?;
+        relay.recheck_admission(job)?;
+        if relay.is_turn_stale(job, &turn) {
             continue;
         }
-        let go_on = GoOn { last_event_id: job.caller.last_event_id, kv_copy: None, reservation };
-        let opened = open_at(relay, job, &turn, placed.endpoint(), &go_on);
+        let resume_from =
+            ResumeFrom { last_event_id: job.caller.last_event_id, kv_copy: None, reservation };
+        let opened = open_on_endpoint(relay, job, &turn, placed.endpoint(), &resume_from);
         let opened = until(job.deadline, opened).await;
-        let opened = opened.map_err(|_| no_answer(starts + 1, "the time is over"))?;
+        let opened = opened.map_err(|_| no_response_error(attempts + 1, "the time is over"))?;
         let endpoint = placed.endpoint().clone();
-        let problem = match opened {
+        let error = match opened {
             Ok(Opened::Failed { .. })
-                if spec.kind.is_repeatable() && starts + 1 < spec.max_attempts =>
+                if spec.kind.is_repeatable() && attempts + 1 < spec.max_attempts =>
             {
-                starts += 1;
+                attempts += 1;
                 "the endpoint failed".to_owned()
             }
-            Ok(opened) => return Ok(Started { placed, turn, opened }),
-            Err(Lost::Withheld(problem)) => {
+            Ok(opened) => return Ok(StartedGeneration { placed, turn, opened }),
+            Err(OpenError::Withheld(error)) => {
                 avoid.push(endpoint);
-                if MAX_WITHHELD <= avoid.len() {
-                    return Err(no_answer(starts, &problem));
+                if MAX_WITHHELD_ATTEMPTS <= avoid.len() {
+                    return Err(no_response_error(attempts, &error));
                 }
                 continue;
             }
-            Err(Lost::NotRun(problem)) => {
+            Err(OpenError::NotRun(error)) => {
                 rejections += 1;
                 if MAX_REJECTIONS <= rejections {
-                    return Err(no_answer(starts, &problem));
+                    return Err(no_response_error(attempts, &error));
                 }
-                problem
+                error
             }
-            Err(Lost::Unknown(problem)) => {
-                starts += 1;
-                if !spec.kind.is_repeatable() || spec.max_attempts <= starts {
-                    return Err(no_answer(starts, &problem));
+            Err(OpenError::Unknown(error)) => {
+                attempts += 1;
+                if !spec.kind.is_repeatable() || spec.max_attempts <= attempts {
+                    return Err(no_response_error(attempts, &error));
                 }
-                problem
+                error
             }
         };
-        if !relay.may_repeat(&job.service) {
-            return Err(no_answer(starts, &format!("no more repeats are allowed now: {problem}")));
+        if !relay.try_acquire_retry(&job.service) {
+            return Err(no_response_error(
+                attempts,
+                &format!("no more repeats are allowed now: {error}"),
+            ));
         }
         avoid.push(endpoint);
     }
@@ -143,56 +152,56 @@
 /// Finds a place, and the name of the reservation there if the engine keeps one. While no endpoint is
 /// known, as for the length of a heartbeat after all VMs were started anew, or none of those that this
 /// daemon has drawn by itself has room, it looks again for as long as a request may wait for a place.
-pub(super) async fn place(
+pub(super) async fn acquire_placement(
     relay: &Relay,
     job: &Job,
     avoid: Vec<Arc<str>>,
-    apart: bool,
+    isolated: bool,
 ) -> Result<(Placed, Option<String>), RequestError> {
     /// Pause between two looks.
-    const LOOK_AGAIN: Duration = Duration::from_millis(20);
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
     loop {
-        let mut req = job.place_request(avoid.clone(), apart);
-        if !relay.uses(Mechanism::PlacePatience) {
+        let mut req = job.place_request(avoid.clone(), isolated);
+        if !relay.is_enabled(Mechanism::PlacePatience) {
             req.max_wait = Duration::ZERO;
         }
-        let patience = req.max_wait;
+        let max_wait = req.max_wait;
         let error = match relay.node.place(req).await {
-            Ok(mut placed) => match confirm(relay, job, &mut placed).await {
+            Ok(mut placed) => match confirm_placement(relay, job, &mut placed).await {
                 Ok(reservation) => return Ok((placed, reservation)),
-                Err(NoRoom) => {
+                Err(NoCapacity) => {
                     RequestError::new(ErrorKind::Overloaded, "no engine that was asked has room")
                 }
             },
             Err(e) if e.kind == ErrorKind::NoEndpoint => e,
             Err(e) => return Err(e),
         };
-        if patience <= LOOK_AGAIN {
+        if max_wait <= POLL_INTERVAL {
             return Err(error);
         }
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Sends a generation to an endpoint and waits for the first event.
-pub(super) async fn open_at(
+pub(super) async fn open_on_endpoint(
     relay: &Relay,
     job: &Job,
     turn: &QuarantineTurn,
     endpoint: &Arc<str>,
-    go_on: &GoOn,
-) -> Result<Opened, Lost> {
+    resume_from: &ResumeFrom,
+) -> Result<Opened, OpenError> {
     let began = Instant::now();
-    let inputs = relay.inputs();
+    let context = relay.decision_context();
     let mut signals = Signals::default();
-    let opened = send(relay, job, turn, endpoint, go_on, &mut signals).await;
-    let (name, detail) = describe(&opened);
+    let opened = send(relay, job, turn, endpoint, resume_from, &mut signals).await;
+    let (name, detail) = describe_result(&opened);
     relay.metrics.attempt(&job.service, name);
     log::info!(
         event = EventId::AttemptEnded.number(), id = job.caller.id.as_str(),
         endpoint = &**endpoint, end = name, detail = detail.as_str(),
-        config = inputs.config, config_age_ms = inputs.config_age_ms,
-        after = go_on.last_event_id.unwrap_or(0), took_ms = began.elapsed().as_millis() as u64,
+        config = context.config, config_age_ms = context.config_age_ms,
+        after = resume_from.last_event_id.unwrap_or(0), took_ms = began.elapsed().as_millis() as u64,
         limit = signals.describe_limit().as_str(),
         backoff_ms = signals.describe_backoff().as_str(), leaving = signals.is_leaving();
         "an attempt ended"
@@ -201,16 +210,16 @@
 }
 
 /// Name and details of an attempt's end for a line of the log.
-fn describe(opened: &Result<Opened, Lost>) -> (&'static str, String) {
+fn describe_result(opened: &Result<Opened, OpenError>) -> (&'static str, String) {
     match opened {
         Ok(Opened::Stream { first, .. }) => {
             let id = first.as_ref().and_then(|event| event.id);
             ("streams", id.map_or_else(String::new, |id| format!("from event {id}")))
         }
         Ok(Opened::Failed { head, .. }) => ("failed", head.status.to_string()),
-        Err(Lost::Withheld(problem)) => ("withheld", problem.clone()),
-        Err(Lost::NotRun(problem)) => ("not_run", problem.clone()),
-        Err(Lost::Unknown(problem)) => ("unknown", problem.clone()),
+        Err(OpenError::Withheld(error)) => ("withheld", error.clone()),
+        Err(OpenError::NotRun(error)) => ("not_run", error.clone()),
+        Err(OpenError::Unknown(error)) => ("unknown", error.clone()),
     }
 }
 
@@ -219,15 +228,15 @@
     job: &Job,
     turn: &QuarantineTurn,
     endpoint: &Arc<str>,
-    go_on: &GoOn,
+    resume_from: &ResumeFrom,
     signals: &mut Signals,
-) -> Result<Opened, Lost> {
+) -> Result<Opened, OpenError> {
     let Some(known) = relay.node.view().endpoint(endpoint) else {
-        return Err(Lost::Withheld("the endpoint has just ended".into()));
+        return Err(OpenError::Withheld("the endpoint has just ended".into()));
     };
-    let awaited = Awaited::begin(relay, job, turn, &known);
-    let opened = send_to(relay, job, turn, &known, go_on, signals).await;
-    awaited.end();
+    let guard = AttemptGuard::new(relay, job, turn, &known);
+    let opened = send_to(relay, job, turn, &known, resume_from, signals).await;
+    guard.complete();
     opened
 }
 
@@ -236,70 +245,75 @@
     job: &Job,
     turn: &QuarantineTurn,
     known: &Registered,
-    go_on: &GoOn,
+    resume_from: &ResumeFrom,
     signals: &mut Signals,
-) -> Result<Opened, Lost> {
-    let failed = || {
+) -> Result<Opened, OpenError> {
+    let report_failure = || {
         let news = Input::Health(known.id.clone(), HealthNews::Failed);
         relay.node.input(news);
     };
-    let broke_off = || relay.broke_off(job, turn, known, go_on.last_event_id.unwrap_or(0));
-    let req = job.request(&*relay.protocol, &known.id, known.address, go_on);
-    let asked = relay.node.now();
+    let on_attempt_failed =
+        || relay.on_attempt_failed(job, turn, known, resume_from.last_event_id.unwrap_or(0));
+    let req = job.request(&*relay.protocol, &known.id, known.address, resume_from);
+    let sent_at = relay.node.now();
     // What its memory lies at may go on there whatever it says: it runs there already.
-    let is_there = go_on.kv_copy.as_ref().is_some_and(|copy| copy.source == known.address);
-    let may_send = || if is_there { relay.may_go_on(known) } else { relay.may_send(known) };
+    let resumes_in_place =
+        resume_from.kv_copy.as_ref().is_some_and(|copy| copy.source == known.address);
+    let may_send =
+        || if resumes_in_place { relay.may_resume(known) } else { relay.may_send(known) };
     let opened = exchange_if(known.address, req, relay.options.connect_timeout, may_send).await;
     let open = match opened {
         Ok(open) => open,
-        Err(SendError::Withheld(problem)) => return Err(Lost::Withheld(problem)),
-        Err(SendError::NotSent(problem)) => {
-            failed();
-            return Err(Lost::NotRun(problem));
+        Err(SendError::Withheld(error)) => return Err(OpenError::Withheld(error)),
+        Err(SendError::NotSent(error)) => {
+            report_failure();
+            return Err(OpenError::NotRun(error));
         }
-        Err(SendError::Lost(problem)) => {
-            failed();
-            broke_off().await;
-            return Err(Lost::Unknown(problem));
+        Err(SendError::Lost(error)) => {
+            report_failure();
+            on_attempt_failed().await;
+            return Err(OpenError::Unknown(error));
         }
     };
     match relay.protocol.classify_response(&job.caller.id, &open.head) {
         ResponseClass::Rejected(RejectionReason::Overloaded) => {
-            *signals = relay.on_rejection(&job.service, known, asked, &open.head);
-            return Err(Lost::NotRun("the endpoint is full".into()));
+            *signals = relay.on_rejection(&job.service, known, sent_at, &open.head);
+            return Err(OpenError::NotRun("the endpoint is full".into()));
         }
         ResponseClass::Rejected(RejectionReason::WrongEndpoint) => {
-            failed();
-            return Err(Lost::NotRun("another endpoint has the address".into()));
+            report_failure();
+            return Err(OpenError::NotRun("another endpoint has the address".into()));
         }
-        ResponseClass::Invalid(problem) => {
-            relay.on_own_answer(&job.service, known, asked, &open.head);
-            return Err(Lost::Unknown(problem.into()));
+        ResponseClass::Invalid(error) => {
+            relay.on_control_response(&job.service, known, sent_at, &open.head);
+            return Err(OpenError::Unknown(error.into()));
         }
         ResponseClass::Executed { success: true } => {
-            *signals = relay.on_answer(&job.service, known, asked, &open.head);
+            *signals = relay.on_response(&job.service, known, sent_at, &open.head);
         }
         ResponseClass::Executed { success: false } => {
-            *signals = relay.on_answer(&job.service, known, asked, &open.head);
+            *signals = relay.on_response(&job.service, known, sent_at, &open.head);
             /// Largest answer of an endpoint that failed.
-            const MAX_FAILURE: usize = 1024 * 1024;
-            return match open.body.collect(MAX_FAILURE).await {
+            const MAX_ERROR_BODY_BYTES: usize = 1024 * 1024;
+            return match open.body.collect(MAX_ERROR_BODY_BYTES).await {
                 Ok(body) => Ok(Opened::Failed { head: open.head, body }),
-                Err(problem) => {
-                    broke_off().await;
-                    Err(Lost::Unknown(problem))
+                Err(error) => {
+                    on_attempt_failed().await;
+                    Err(OpenError::Unknown(error))
                 }
             };
         }
     }
-    let mut source = Source::new(open.body);
-    match source.next().await {
-        Step::Event(event) => Ok(Opened::Stream { head: open.head, source, first: Some(event) }),
-        Step::Ended => Ok(Opened::Stream { head: open.head, source, first: None }),
-        Step::Lost(problem) => {
-            failed();
-            broke_off().await;
-            Err(Lost::Unknown(problem))
+    let mut event_stream = EventStream::new(open.body);
+    match event_stream.next().await {
+        StreamItem::Event(event) => {
+            Ok(Opened::Stream { head: open.head, event_stream, first: Some(event) })
+        }
+        StreamItem::End => Ok(Opened::Stream { head: open.head, event_stream, first: None }),
+        StreamItem::Error(error) => {
+            report_failure();
+            on_attempt_failed().await;
+            Err(OpenError::Unknown(error))
         }
     }
 }
--- a/crates/server/src/relay/job.rs
+++ b/crates/server/src/relay/job.rs
@@ -13,15 +13,15 @@
     quarantine::{RequestDigest, RequestIdentity},
 };
 
-use super::{Attempt, CallerRequest, InProgress, KvCopy, Protocol, Relay};
+use super::{Attempt, CallerRequest, InProgressGuard, KvCopy, Protocol, Relay};
 use crate::telemetry::{EventId, Metrics};
 
 /// Rank of requests whose tier is not known: after all others.
-const LAST_RANK: u64 = 100;
+const UNKNOWN_TIER_RANK: u64 = 100;
 /// Most urgent and least urgent priority that engines tell apart.
-const LEAST_URGENT: u64 = 9;
+const LOWEST_ENGINE_PRIORITY: u64 = 9;
 /// Left of the target time for the way to the endpoint and back.
-const WAY_BACK: Duration = Duration::from_millis(20);
+const NETWORK_ROUND_TRIP: Duration = Duration::from_millis(20);
 
 /// An admitted request.
 pub(crate) struct Job {
@@ -35,17 +35,17 @@
     pub(super) workspace: Option<Arc<str>>,
     /// Rank of its tier, 1 first.
     pub(super) rank: u64,
-    pub(super) arrived: Instant,
+    pub(super) received_at: Instant,
     /// When the final answer is due.
     pub(super) deadline: Instant,
-    pub(super) counted: Option<InProgress>,
+    pub(super) in_progress: Option<InProgressGuard>,
     /// Its digest, once anybody has asked for it.
     pub(super) digest: OnceCell<RequestDigest>,
 }
 
 /// How an attempt goes on with a generation.
 #[derive(Debug, Clone, Default)]
-pub(super) struct GoOn {
+pub(super) struct ResumeFrom {
     /// The last event that the caller has.
     pub(super) last_event_id: Option<u64>,
     /// Where the generation's memory lies.
@@ -63,12 +63,12 @@
     /// The caller's own bound on an attempt: what is left of the time that it waits.
     fn caller_time_left(&self) -> Duration {
         let limit = self.caller.time_left.unwrap_or(self.route.spec.timeout);
-        limit.min(self.route.spec.timeout).saturating_sub(self.arrived.elapsed())
+        limit.min(self.route.spec.timeout).saturating_sub(self.received_at.elapsed())
     }
 
     /// Urgency for an engine, 0 first.
     pub(super) fn priority(&self) -> u64 {
-        self.rank.saturating_sub(1).min(LEAST_URGENT)
+        self.rank.saturating_sub(1).min(LOWEST_ENGINE_PRIORITY)
     }
 
     /// The name by which every daemon knows the request again, whichever try it is.
@@ -92,16 +92,16 @@
         protocol: &dyn Protocol,
         endpoint: &str,
         address: SocketAddr,
-        go_on: &GoOn,
+        resume_from: &ResumeFrom,
     ) -> Request<Full<Bytes>> {
         let attempt = Attempt {
             endpoint,
             time_left: self.caller_time_left(),
             workspace: self.workspace.as_deref(),
             priority: self.route.spec.kind.is_generation().then(|| self.priority()),
-            last_event_id: go_on.last_event_id.or(self.caller.last_event_id),
-            kv_copy: go_on.kv_copy.as_ref(),
-            reservation: go_on.reservation.as_deref(),
+            last_event_id: resume_from.last_event_id.or(self.caller.last_event_id),
+            kv_copy: resume_from.kv_copy.as_ref(),
+            reservation: resume_from.reservation.as_deref(),
         };
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.head.method.clone();
@@ -116,15 +116,15 @@
     }
 
     /// What the scheduler needs to know.
-    pub(super) fn place_request(&self, avoid: Vec<Arc<str>>, apart: bool) -> placement::Request {
+    pub(super) fn place_request(&self, avoid: Vec<Arc<str>>, isolated: bool) -> placement::Request {
         let prompt = self.caller.prompt.clone().unwrap_or_default();
         let unlimited = u64::MAX / 2;
         let spec = &self.route.spec;
         let workspace = self.workspace.as_ref();
         let workspace = workspace.and_then(|name| self.config.config.workspaces.get(name));
         // As long as it can still begin to answer in time.
-        let waited = self.arrived.elapsed() + WAY_BACK;
-        let ttft_target = spec.target_latency.saturating_sub(waited);
+        let elapsed = self.received_at.elapsed() + NETWORK_ROUND_TRIP;
+        let ttft_target = spec.target_latency.saturating_sub(elapsed);
         let max_wait = ttft_target.saturating_sub(placement::prefill_time(prompt.tokens));
         placement::Request {
             ticket: Ticket { entry: 0, number: 0 },
@@ -141,13 +141,13 @@
             max_wait: max_wait.min(self.time_left()),
             ttft_target,
             avoid,
-            isolated: apart,
+            isolated,
         }
     }
 
     /// Writes the line and counts at the request's end.
-    pub(super) fn ended(&self, metrics: &Metrics, cause: &str, detail: &str) {
-        let took = self.arrived.elapsed();
+    pub(super) fn log_end(&self, metrics: &Metrics, cause: &str, detail: &str) {
+        let took = self.received_at.elapsed();
         let workspace = self.workspace.as_deref().unwrap_or("-");
         metrics.request(workspace, &self.route.name, cause, took);
         log::info!(
@@ -161,6 +161,6 @@
 }
 
 /// The rank of a tier by its name; the last where there is none.
-pub(super) fn rank_of(config: &trayswitch_core::config::Config, tier: Option<&str>) -> u64 {
-    tier.and_then(|tier| config.tiers.get(tier)).map_or(LAST_RANK, |tier| tier.rank)
+pub(super) fn tier_rank(config: &trayswitch_core::config::Config, tier: Option<&str>) -> u64 {
+    tier.and_then(|tier| config.tiers.get(tier)).map_or(UNKNOWN_TIER_RANK, |tier| tier.rank)
 }
--- a/crates/server/src/relay/latency.rs
+++ b/crates/server/src/relay/latency.rs
@@ -8,28 +8,28 @@
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
 /// Deviations beyond the mean that are still usual. With TCP's four, two calls a day more were late
 /// (48 paired days); with two, as many as with a second attempt at half of the target.
-const USUAL_DEVIATIONS: f64 = 2.0;
+const HEDGE_DEVIATIONS: f64 = 2.0;
 /// Calls after which the figures mean something.
-const ENOUGH: u32 = 16;
+const MIN_SAMPLES: u32 = 16;
 
 /// The time that calls of one service took, smoothed.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Latency {
-    calls: u32,
+pub(super) struct LatencyEstimate {
+    samples: u32,
     /// In seconds.
     mean: f64,
     /// Mean distance from the mean, in seconds.
     deviation: f64,
 }
 
-impl Latency {
+impl LatencyEstimate {
     /// Takes the time of a call that was answered.
-    pub(super) fn note(&mut self, took: Duration) {
+    pub(super) fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
-        if self.calls == 0 {
+        if self.samples == 0 {
             (self.mean, self.deviation) = (took, took / 2.0);
         }
-        self.calls = self.calls.saturating_add(1);
+        self.samples = self.samples.saturating_add(1);
         self.deviation += DEVIATION_WEIGHT * ((took - self.mean).abs() - self.deviation);
         self.mean += MEAN_WEIGHT * (took - self.mean);
     }
@@ -40,8 +40,8 @@
     }
 
     /// The time after which a call takes longer than the others explain, once that is known.
-    pub(super) fn unusual_after(&self) -> Option<Duration> {
-        let usual = self.mean + USUAL_DEVIATIONS * self.deviation;
-        (ENOUGH <= self.calls).then(|| Duration::from_secs_f64(usual))
+    pub(super) fn hedge_delay(&self) -> Option<Duration> {
+        let threshold = self.mean + HEDGE_DEVIATIONS * self.deviation;
+        (MIN_SAMPLES <= self.samples).then(|| Duration::from_secs_f64(threshold))
     }
 }
--- /dev/null
+++ b/crates/server/src/relay/load_balancer.rs
@@ -0,0 +1,240 @@
+//! What this entry knows of plain endpoints from its own requests, and the choice by it.
+
+use std::{cell::RefCell, collections::HashMap, rc::Rc, sync::Arc, time::Duration};
+
+use trayswitch_clock::Instant;
+use trayswitch_core::{
+    config::ColdStart,
+    mechanism::{Disabled, Mechanism},
+    placement::{ColdPacer, SenderRole, cold_interval},
+    registry::Registered,
+    units,
+};
+
+/// An endpoint that failed is left alone for this long, doubled after each failure in a row.
+const BASE_EJECTION_TIME: Duration = Duration::from_millis(300);
+/// Longest of these pauses: shorter than the outages that the users play.
+const MAX_EJECTION_TIME: Duration = Duration::from_millis(2_400);
+/// Weight of the newest request in the part that failed.
+const FAILURE_RATE_SMOOTHING: f64 = 0.15;
+/// How many running requests an endpoint that always fails counts for.
+const FAILURE_COST: f64 = 12.0;
+/// Failures below this part are taken for the requests' own.
+const TOLERATED_FAILURE_RATE: f64 = 0.3;
+/// A running request in another data hall counts for this much less than one nearby.
+const REMOTE_HALL_COST: f64 = 0.4;
+
+#[derive(Debug, Clone, Default)]
+struct EndpointStats {
+    /// When the run was started that the rest is known of.
+    born: u64,
+    in_flight: u32,
+    failure_rate: f64,
+    consecutive_failures: u32,
+    ejected_until: Option<Instant>,
+    /// When it may be tried again after it has not answered: it may have started anew.
+    retry_at: Option<Instant>,
+    pacer: Option<ColdPacer>,
+}
+
+/// What cold endpoints of a service bear, and with how many daemons this one shares it.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct ColdStartPolicy {
+    pub(super) limits: ColdStart,
+    pub(super) senders: SenderRole,
+    pub(super) now: units::Instant,
+}
+
+impl ColdStartPolicy {
+    fn interval(&self) -> Duration {
+        cold_interval(self.senders, self.limits)
+    }
+}
+
+impl EndpointStats {
+    /// Forgets what was known of a former run; what runs there ends by itself.
+    fn reset_if_restarted(&mut self, endpoint: &Registered) {
+        if self.born != endpoint.born {
+            *self = EndpointStats {
+                born: endpoint.born,
+                in_flight: self.in_flight,
+                ..EndpointStats::default()
+            };
+        }
+    }
+
+    /// Whether a cold endpoint may be sent a request of this daemon now.
+    fn may_send(&mut self, endpoint: &Registered, policy: &ColdStartPolicy) -> bool {
+        let now = policy.now;
+        let Some(until) = self.cold_until(endpoint, policy).filter(|until| now < *until) else {
+            self.pacer = None;
+            return true;
+        };
+        match &mut self.pacer {
+            Some(pacer) => pacer.extend(until),
+            pacer => *pacer = Some(ColdPacer::new(until, policy.interval(), fastrand::f64(), now)),
+        }
+        self.pacer.is_none_or(|pacer| pacer.may_send(now))
+    }
+
+    /// Until when it is cold: by its own word, or since it may have started anew when it failed.
+    fn cold_until(
+        &self,
+        endpoint: &Registered,
+        policy: &ColdStartPolicy,
+    ) -> Option<units::Instant> {
+        let lasts = policy.limits.lasts;
+        let left = |retry_at: Instant| (retry_at + lasts).checked_duration_since(Instant::now());
+        let restart_until = self.retry_at.and_then(left).map(|left| policy.now.after(left));
+        endpoint.cold_until.max(restart_until)
+    }
+}
+
+/// How a request at an endpoint ended, as far as it tells of the endpoint.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Outcome {
+    /// It answered.
+    Success,
+    /// It answered with a failure of its own.
+    Error,
+    /// It could not be reached, or did not answer.
+    Unreachable,
+}
+
+/// Loads of endpoints by name.
+#[derive(Debug, Default, Clone)]
+pub(super) struct LoadBalancer {
+    stats_by_id: Rc<RefCell<HashMap<Arc<str>, EndpointStats>>>,
+    disabled: Disabled,
+}
+
+/// Counts a request as running while it lives.
+pub(super) struct InFlightGuard {
+    load_balancer: LoadBalancer,
+    id: Arc<str>,
+}
+
+impl Drop for InFlightGuard {
+    fn drop(&mut self) {
+        if let Some(stats) = self.load_balancer.stats_by_id.borrow_mut().get_mut(&self.id) {
+            stats.in_flight -= 1;
+        }
+    }
+}
+
+impl LoadBalancer {
+    /// No loads yet; a choice does without these mechanisms.
+    pub(super) fn new(disabled: Disabled) -> LoadBalancer {
+        LoadBalancer { stats_by_id: Rc::default(), disabled }
+    }
+
+    /// Those that may be sent a request now, as far as cold ones bear it.
+    pub(super) fn retain_sendable(
+        &self,
+        mut endpoints: Vec<Registered>,
+        policy: Option<&ColdStartPolicy>,
+    ) -> Vec<Registered> {
+        let mut stats_by_id = self.stats_by_id.borrow_mut();
+        endpoints.retain(|endpoint| {
+            let stats = stats_mut(&mut stats_by_id, &endpoint.id);
+            stats.reset_if_restarted(endpoint);
+            policy.is_none_or(|policy| stats.may_send(endpoint, policy))
+        });
+        endpoints
+    }
+
+    /// The least loaded endpoint, other than those in `avoid` if there is another.
+    pub(super) fn select(
+        &self,
+        endpoints: &[Registered],
+        avoid: &[Arc<str>],
+        hall: &str,
+    ) -> Option<Registered> {
+        let costs = endpoints.iter().map(|endpoint| (self.cost(endpoint, avoid, hall), endpoint));
+        let (_, best) = costs.min_by(|a, b| a.0.total_cmp(&b.0))?;
+        Some(best.clone())
+    }
+
+    /// The same endpoints, the least loaded one first.
+    pub(super) fn sort_by_cost(&self, endpoints: &mut Vec<Registered>, hall: &str) {
+        let costs = endpoints.drain(..).map(|endpoint| (self.cost(&endpoint, &[], hall), endpoint));
+        let mut costs: Vec<(f64, Registered)> = costs.collect();
+        costs.sort_by(|a, b| a.0.total_cmp(&b.0));
+        endpoints.extend(costs.into_iter().map(|(_, endpoint)| endpoint));
+    }
+
+    /// What it costs to send another request to an endpoint, in requests that run there.
+    fn cost(&self, endpoint: &Registered, avoid: &[Arc<str>], hall: &str) -> f64 {
+        let stats = self.stats_by_id.borrow().get(&endpoint.id).cloned().unwrap_or_default();
+        let ejected = self.disabled.allows(Mechanism::FailurePauses)
+            && stats.ejected_until.is_some_and(|until| Instant::now() < until);
+        let failure_excess = if self.disabled.allows(Mechanism::FailureWeights) {
+            (stats.failure_rate - TOLERATED_FAILURE_RATE).max(0.0) / (1.0 - TOLERATED_FAILURE_RATE)
+        } else {
+            0.0
+        };
+        let same_hall = *endpoint.hall == *hall || !self.disabled.allows(Mechanism::NearCalls);
+        let distance_cost = if same_hall { 0.0 } else { REMOTE_HALL_COST };
+        let avoided = avoid.contains(&endpoint.id);
+        let rank = f64::from(u8::from(avoided)) * 2_000.0 + f64::from(u8::from(ejected)) * 1_000.0;
+        rank + f64::from(stats.in_flight)
+            + FAILURE_COST * failure_excess
+            + distance_cost
+            + 0.1 * fastrand::f64()
+    }
+
+    /// Counts a request as running at an endpoint.
+    pub(super) fn start_request(
+        &self,
+        id: &Arc<str>,
+        policy: Option<&ColdStartPolicy>,
+    ) -> InFlightGuard {
+        let mut stats_by_id = self.stats_by_id.borrow_mut();
+        let stats = stats_mut(&mut stats_by_id, id);
+        stats.in_flight += 1;
+        if let (Some(pacer), Some(policy)) = (&mut stats.pacer, policy) {
+            pacer.on_sent(policy.interval(), policy.now);
+        }
+        InFlightGuard { load_balancer: self.clone(), id: id.clone() }
+    }
+
+    /// Requests of this entry that run at an endpoint.
+    pub(super) fn in_flight(&self, id: &str) -> u32 {
+        self.stats_by_id.borrow().get(id).map_or(0, |stats| stats.in_flight)
+    }
+
+    /// Records how a request ended.
+    pub(super) fn record_outcome(&self, id: &Arc<str>, outcome: Outcome) {
+        let mut stats_by_id = self.stats_by_id.borrow_mut();
+        let stats = stats_mut(&mut stats_by_id, id);
+        let failed = if outcome == Outcome::Success { 0.0 } else { 1.0 };
+        stats.failure_rate += FAILURE_RATE_SMOOTHING * (failed - stats.failure_rate);
+        match outcome {
+            Outcome::Success => {
+                stats.consecutive_failures = 0;
+                stats.ejected_until = None;
+            }
+            Outcome::Error => {}
+            Outcome::Unreachable => {
+                let ejection_time =
+                    BASE_EJECTION_TIME * 2u32.pow(stats.consecutive_failures.min(4));
+                stats.consecutive_failures += 1;
+                stats.ejected_until = Some(Instant::now() + ejection_time.min(MAX_EJECTION_TIME));
+                stats.retry_at = stats.ejected_until;
+            }
+        }
+    }
+}
+
+/// The load of an endpoint, which is empty if nothing is known of it.
+fn stats_mut<'a>(
+    stats_by_id: &'a mut HashMap<Arc<str>, EndpointStats>,
+    id: &Arc<str>,
+) -> &'a mut EndpointStats {
+    /// Endpoints that are remembered; those that run nothing go first.
+    const MAX_TRACKED_ENDPOINTS: usize = 4_096;
+    if MAX_TRACKED_ENDPOINTS <= stats_by_id.len() {
+        stats_by_id.retain(|_, stats| 0 < stats.in_flight);
+    }
+    stats_by_id.entry(id.clone()).or_default()
+}
--- a/crates/server/src/relay/unscheduled.rs
+++ b/crates/server/src/relay/local_placement.rs
@@ -21,11 +21,11 @@
 use crate::{runtime::Placed, telemetry::EventId, upstream::exchange};
 
 /// Largest answer to a question for load or a place.
-const MAX_ANSWER: usize = 256 * 1024;
+const MAX_REPLY_BYTES: usize = 256 * 1024;
 /// How long an engine keeps a place: the way there and a retransmission.
-const KEEP_FOR: Duration = Duration::from_millis(500);
+const RESERVATION_TTL: Duration = Duration::from_millis(500);
 /// Tokens of the answer that a place has room for beside the prompt: the first second of it.
-const FIRST_TOKENS: u64 = 128;
+const INITIAL_OUTPUT_TOKENS: u64 = 128;
 
 /// A place that an engine keeps.
 #[derive(Debug, Clone, Copy)]
@@ -37,30 +37,34 @@
 }
 
 /// Neither of the engines that were drawn has room.
-pub(super) struct NoRoom;
+pub(super) struct NoCapacity;
 
 /// Lets the engines that were drawn confirm a place. Returns the name of the reservation; none where
 /// a scheduler has granted the place, or the engine has much room or keeps no places.
-pub(super) async fn confirm(
+pub(super) async fn confirm_placement(
     relay: &Relay,
     job: &Job,
     placed: &mut Placed,
-) -> Result<Option<String>, NoRoom> {
+) -> Result<Option<String>, NoCapacity> {
     if placed.drawn().is_empty() {
         return Ok(None);
     }
-    let prompt = job.caller.prompt.as_ref().map_or(0, |prompt| prompt.tokens);
-    let ask =
-        async |drawn: &SampledEndpoint| (drawn.clone(), load_of(relay, &drawn.endpoint).await);
-    let mut candidates: Vec<Candidate> = join_all(placed.drawn().iter().map(ask)).await;
-    sort_by_cost(&mut candidates, prompt);
+    let prompt_tokens = job.caller.prompt.as_ref().map_or(0, |prompt| prompt.tokens);
+    let with_load = async |sampled: &SampledEndpoint| {
+        (sampled.clone(), fetch_load(relay, &sampled.endpoint).await)
+    };
+    let mut candidates: Vec<Candidate> = join_all(placed.drawn().iter().map(with_load)).await;
+    sort_by_cost(&mut candidates, prompt_tokens);
     for (SampledEndpoint { endpoint, .. }, load) in &candidates {
-        let reserved = match load {
-            Some(load) if !load.is_tight(prompt) => ReservationReply::NotRequired,
-            _ => reserve(relay, job, endpoint, prompt.saturating_add(FIRST_TOKENS)).await,
+        let reply = match load {
+            Some(load) if !load.is_tight(prompt_tokens) => ReservationReply::NotRequired,
+            _ => {
+                reserve(relay, job, endpoint, prompt_tokens.saturating_add(INITIAL_OUTPUT_TOKENS))
+                    .await
+            }
         };
-        note(job, endpoint, *load, &reserved);
-        let name = match reserved {
+        log_reservation(job, endpoint, *load, &reply);
+        let name = match reply {
             ReservationReply::Granted(name) => Some(name),
             ReservationReply::NotRequired => None,
             ReservationReply::Denied => continue,
@@ -70,35 +74,40 @@
         }
         return Ok(name);
     }
-    Err(NoRoom)
+    Err(NoCapacity)
 }
 
-fn note(job: &Job, endpoint: &Arc<str>, load: Option<EngineLoad>, reserved: &ReservationReply) {
+fn log_reservation(
+    job: &Job,
+    endpoint: &Arc<str>,
+    load: Option<EngineLoad>,
+    reply: &ReservationReply,
+) {
     let load = load.unwrap_or_default();
     log::info!(
         event = EventId::PlacedAlone.number(), id = job.caller.id.as_str(), endpoint = &**endpoint,
-        end = reserved.name(), running = load.running, waiting = load.waiting,
+        end = reply.name(), running = load.running, waiting = load.waiting,
         unread = load.unread_tokens, memory_used = load.kv_used;
         "no scheduler answers: an engine drawn at random was asked for a place"
     );
 }
 
 /// The load of an engine, if it tells, and the run that is known tells it.
-async fn load_of(relay: &Relay, endpoint: &Arc<str>) -> Option<EngineLoad> {
-    let (head, body) = ask(relay, endpoint, relay.protocol.load_request()).await?;
+async fn fetch_load(relay: &Relay, endpoint: &Arc<str>) -> Option<EngineLoad> {
+    let (head, body) = query_engine(relay, endpoint, relay.protocol.load_request()).await?;
     let load = relay.protocol.decode_load(&head, &body)?;
     let known = relay.node.view().endpoint(endpoint)?.born;
-    let is_other = 0 < known && 0 < load.started_at && known != load.started_at;
-    (!is_other).then_some(load)
+    let is_other_run = 0 < known && 0 < load.started_at && known != load.started_at;
+    (!is_other_run).then_some(load)
 }
 
 async fn reserve(relay: &Relay, job: &Job, endpoint: &Arc<str>, tokens: u64) -> ReservationReply {
     let service = job.config.config.services.get(&job.service);
     let longest = service.and_then(|service| service.engine.as_ref()?.longest_reservation);
     let Some(longest) = longest else { return ReservationReply::NotRequired };
-    let reservation = Reservation { tokens, ttl: KEEP_FOR.min(longest) };
+    let reservation = Reservation { tokens, ttl: RESERVATION_TTL.min(longest) };
     let req = relay.protocol.reservation_request(&reservation);
-    match ask(relay, endpoint, req).await {
+    match query_engine(relay, endpoint, req).await {
         Some((head, body)) => relay.protocol.decode_reservation(&head, &body),
         None => ReservationReply::Denied,
     }
@@ -106,25 +115,26 @@
 
 /// An engine's whole answer; none if it gives none in the time that a connection may take to come up,
 /// and then it counts as failed.
-async fn ask(
+async fn query_engine(
     relay: &Relay,
     endpoint: &Arc<str>,
     req: Request<Full<Bytes>>,
 ) -> Option<(response::Parts, Bytes)> {
     let known = relay.node.view().endpoint(endpoint)?;
-    let limit = relay.options.connect_timeout;
-    let asked = relay.node.now();
+    let connect_timeout = relay.options.connect_timeout;
+    let sent_at = relay.node.now();
     let whole = async {
-        let open = exchange(known.address, req, limit).await.map_err(|e| e.to_string())?;
-        relay.on_own_answer(&known.service, &known, asked, &open.head);
-        Ok((open.head, open.body.collect(MAX_ANSWER).await?))
+        let open =
+            exchange(known.address, req, connect_timeout).await.map_err(|e| e.to_string())?;
+        relay.on_control_response(&known.service, &known, sent_at, &open.head);
+        Ok((open.head, open.body.collect(MAX_REPLY_BYTES).await?))
     };
-    let problem = match timeout(limit, whole).await {
+    let error = match timeout(connect_timeout, whole).await {
         Ok(Ok(answer)) => return Some(answer),
-        Ok(Err(problem)) => problem,
+        Ok(Err(error)) => error,
         Err(_) => "no answer in time".to_owned(),
     };
-    log::debug!(endpoint = &**endpoint; "an engine tells nothing of its room: {problem}");
+    log::debug!(endpoint = &**endpoint; "an engine tells nothing of its room: {error}");
     relay.node.input(Input::Health(endpoint.clone(), HealthNews::Failed));
     None
 }
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -6,23 +6,23 @@
 
 mod admission;
 mod backoff;
-mod budget;
 mod call;
-mod ended;
+mod event_stream;
+mod failed_attempt;
 mod generation;
 mod job;
 mod latency;
-mod limited;
-mod loads;
-mod moves;
+mod load_balancer;
+mod local_placement;
 mod protocol;
 mod quarantine_turn;
+mod rate_limit;
+mod relocation;
+mod retry_budget;
 mod signals;
-mod source;
 mod stream;
 #[cfg(test)]
 mod tests;
-mod unscheduled;
 
 use std::{
     cell::{Cell, RefCell},
@@ -44,18 +44,18 @@
 };
 
 use self::{
-    budget::RepeatBudget,
-    ended::MOST_WATCHED,
+    failed_attempt::MAX_WATCHED_ENDPOINTS,
     job::Job,
-    latency::Latency,
-    loads::{ColdRule, Loads},
+    latency::LatencyEstimate,
+    load_balancer::{ColdStartPolicy, LoadBalancer},
+    retry_budget::RetryBudget,
 };
 pub use self::{
+    local_placement::Reservation,
     protocol::{
         Attempt, CallerRequest, CopyCommand, CopyReply, KvCopy, Prompt, Protocol, RejectionReason,
         ReservationReply, ResponseClass,
     },
-    unscheduled::Reservation,
 };
 use crate::{
     edge::{self, Body, Bounds, Handler, LocalFuture},
@@ -64,7 +64,7 @@
 };
 
 /// Part of the time left that a request may wait before it is sent; the rest is for the answer.
-const QUEUE_PART: u32 = 2;
+const QUEUE_TIME_DIVISOR: u32 = 2;
 /// Endpoints that may reject one request before its caller is told so.
 const MAX_REJECTIONS: u32 = 3;
 
@@ -93,7 +93,7 @@
 
 /// What a decision was made by.
 #[derive(Debug, Clone, Copy)]
-struct Inputs {
+struct DecisionContext {
     /// Version of the configuration in force.
     config: u64,
     /// Time since it was last known to be current.
@@ -106,16 +106,16 @@
     protocol: Box<dyn Protocol>,
     hall: Arc<str>,
     options: RelayOptions,
-    loads: Loads,
-    budgets: RefCell<HashMap<String, RepeatBudget>>,
+    load_balancer: LoadBalancer,
+    budgets: RefCell<HashMap<String, RetryBudget>>,
     /// How long calls take, by service.
-    latencies: RefCell<HashMap<String, Latency>>,
+    latencies: RefCell<HashMap<String, LatencyEstimate>>,
     /// Until when leave at a service's limited endpoints is not asked for while others are free.
-    no_permit_until: RefCell<HashMap<String, Instant>>,
+    permit_denied_until: RefCell<HashMap<String, Instant>>,
     /// Since when requests have found no configuration that is known to be current.
-    outdated_since: Cell<Option<Instant>>,
+    unconfirmed_since: Cell<Option<Instant>>,
     /// Endpoints that are watched since an attempt there broke off.
-    watched: Arc<Semaphore>,
+    watch_permits: Arc<Semaphore>,
     /// Calls that were refused shortly one after the other, by service.
     refusals: RefCell<HashMap<String, Refusals>>,
     metrics: Rc<Metrics>,
@@ -135,67 +135,67 @@
             protocol,
             hall,
             options,
-            loads: Loads::new(options.disabled),
+            load_balancer: LoadBalancer::new(options.disabled),
             budgets: RefCell::default(),
             latencies: RefCell::default(),
-            no_permit_until: RefCell::default(),
-            outdated_since: Cell::new(Some(Instant::now())),
-            watched: Arc::new(Semaphore::new(MOST_WATCHED)),
+            permit_denied_until: RefCell::default(),
+            unconfirmed_since: Cell::new(Some(Instant::now())),
+            watch_permits: Arc::new(Semaphore::new(MAX_WATCHED_ENDPOINTS)),
             refusals: RefCell::default(),
             metrics,
         }
     }
 
     /// Whether a repeat for this service may be sent now; counts it if so.
-    fn may_repeat(&self, service: &str) -> bool {
+    fn try_acquire_retry(&self, service: &str) -> bool {
         let (now, daemons) = (self.node.now(), self.node.view().daemons());
         let mut budgets = self.budgets.borrow_mut();
-        let budget = budgets.entry(service.to_owned()).or_default();
-        budget.take(&self.options, daemons, now)
+        let retry_budget = budgets.entry(service.to_owned()).or_default();
+        retry_budget.try_acquire(&self.options, daemons, now)
     }
 
     /// What a decision is made by now, for its log line.
-    fn inputs(&self) -> Inputs {
+    fn decision_context(&self) -> DecisionContext {
         let view = self.node.view();
         let age = view.confirmed().map(|at| self.node.now().since(at));
-        Inputs {
+        DecisionContext {
             config: view.active_config().map_or(0, |f| f.version),
             config_age_ms: age.map_or(0, |age| age.as_millis() as u64),
         }
     }
 
     /// What cold endpoints of a request's service bear, if they bear less than others.
-    fn cold_rule(&self, job: &Job) -> Option<ColdRule> {
+    fn cold_start_policy(&self, job: &Job) -> Option<ColdStartPolicy> {
         let service = job.config.config.services.get(&job.service)?;
         let senders = SenderRole::one_of(self.node.view().daemons());
-        Some(ColdRule { bears: service.cold_start?, senders, now: self.node.now() })
+        Some(ColdStartPolicy { limits: service.cold_start?, senders, now: self.node.now() })
     }
 
     /// Notes how long an answered call took.
-    fn note_latency(&self, service: &str, took: Duration) {
+    fn record_latency(&self, service: &str, took: Duration) {
         let mut latencies = self.latencies.borrow_mut();
-        latencies.entry(service.to_owned()).or_default().note(took);
+        latencies.entry(service.to_owned()).or_default().record(took);
     }
 
     /// The time after which a call to this service takes unusually long, once that is known.
-    fn unusual_after(&self, service: &str) -> Option<Duration> {
-        self.latencies.borrow().get(service).and_then(Latency::unusual_after)
+    fn hedge_delay(&self, service: &str) -> Option<Duration> {
+        self.latencies.borrow().get(service).and_then(LatencyEstimate::hedge_delay)
     }
 
     /// The time that a call to this service takes; none before any was answered.
-    fn usual_latency(&self, service: &str) -> Duration {
-        self.latencies.borrow().get(service).map_or(Duration::ZERO, Latency::mean)
+    fn mean_latency(&self, service: &str) -> Duration {
+        self.latencies.borrow().get(service).map_or(Duration::ZERO, LatencyEstimate::mean)
     }
 
     /// Whether a mechanism is in use.
-    fn uses(&self, mechanism: Mechanism) -> bool {
+    fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.options.disabled.allows(mechanism)
     }
 
-    fn note_request(&self, service: &str) {
+    fn record_request(&self, service: &str) {
         let now = self.node.now();
         let mut budgets = self.budgets.borrow_mut();
-        budgets.entry(service.to_owned()).or_default().note_request(&self.options, now);
+        budgets.entry(service.to_owned()).or_default().record_request(&self.options, now);
     }
 
     async fn serve(self: Rc<Self>, req: Request<Incoming>) -> Response<Body> {
@@ -205,9 +205,9 @@
             Err(refused) => return self.refuse(&refused.id, &refused.error),
         };
         self.metrics.config_version(job.config.version);
-        self.note_request(&job.service);
+        self.record_request(&job.service);
         self.metrics.in_progress(1);
-        job.counted = Some(InProgress(self.metrics.clone()));
+        job.in_progress = Some(InProgressGuard(self.metrics.clone()));
         if job.route.spec.kind.is_generation() {
             generation::serve(self, job).await
         } else {
@@ -234,21 +234,21 @@
 
     /// Ends a job with an error.
     fn fail(&self, job: &Job, error: &RequestError) -> Response<Body> {
-        job.ended(&self.metrics, error.kind.answer().code, &error.message);
+        job.log_end(&self.metrics, error.kind.answer().code, &error.message);
         self.protocol.error_response(&job.caller.id, error).map(edge::full)
     }
 }
 
 /// The error when no answer will come, after so many attempts that may have run.
-fn no_answer(starts: u32, problem: &str) -> RequestError {
+fn no_response_error(starts: u32, problem: &str) -> RequestError {
     let kind = if starts == 0 { ErrorKind::EndpointRefused } else { ErrorKind::OutcomeUnknown };
     RequestError::new(kind, problem)
 }
 
 /// Counts a request as in progress while it lives.
-pub(crate) struct InProgress(Rc<Metrics>);
+pub(crate) struct InProgressGuard(Rc<Metrics>);
 
-impl Drop for InProgress {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.0.in_progress(-1);
     }
--- a/crates/server/src/relay/quarantine_turn.rs
+++ b/crates/server/src/relay/quarantine_turn.rs
@@ -7,7 +7,7 @@
     quarantine::{PATIENCE, Standing, no_turn, quarantined},
 };
 
-use super::{Job, QUEUE_PART, Relay};
+use super::{Job, QUEUE_TIME_DIVISOR, Relay};
 use crate::{
     runtime::{Trial, Tried},
     telemetry::EventId,
@@ -23,7 +23,7 @@
 
 impl QuarantineTurn {
     /// Whether the attempt runs apart from other requests.
-    pub(super) fn is_apart(&self) -> bool {
+    pub(super) fn is_isolated(&self) -> bool {
         self.trial.as_ref().is_some_and(Trial::is_apart)
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// Notes that the answer has begun well.
-    pub(super) fn begin(&mut self) {
+    pub(super) fn mark_begun(&mut self) {
         if let Some(trial) = &mut self.trial {
             trial.begin();
         }
@@ -48,15 +48,15 @@
             return Ok(QuarantineTurn::none());
         }
         if standing.is_quarantined() {
-            self.note_trial(job, standing, "quarantined");
+            self.log_trial(job, standing, "quarantined");
             return Err(quarantined());
         }
-        let limit = PATIENCE.min(job.time_left() / QUEUE_PART);
+        let limit = PATIENCE.min(job.time_left() / QUEUE_TIME_DIVISOR);
         let tried = self.node.try_suspect(job.digest(self), limit).await;
-        let (answer, turn) = match tried {
+        let (result, turn) = match tried {
             Tried::Granted(trial) => {
-                let answer = if trial.is_apart() { "apart" } else { "granted" };
-                (answer, Ok(QuarantineTurn { trial: Some(trial), standing }))
+                let result = if trial.is_apart() { "apart" } else { "granted" };
+                (result, Ok(QuarantineTurn { trial: Some(trial), standing }))
             }
             Tried::Clear => ("clear", Ok(QuarantineTurn::none())),
             Tried::Quarantined => ("quarantined", Err(quarantined())),
@@ -64,15 +64,15 @@
             // Nearly all that were at one end are innocent; without a leader they go on unwatched.
             Tried::NotNow => ("unwatched", Ok(QuarantineTurn { trial: None, standing })),
         };
-        self.note_trial(job, standing, answer);
+        self.log_trial(job, standing, result);
         turn
     }
 
     /// Whether a turn is no longer good: endpoints have ended under the request since it was given.
-    pub(super) fn must_ask_again(&self, job: &Job, turn: &QuarantineTurn) -> bool {
+    pub(super) fn is_turn_stale(&self, job: &Job, turn: &QuarantineTurn) -> bool {
         let now = self.standing(job);
-        let is_news = now.is_suspect() && now != turn.standing;
-        now.is_quarantined() || turn.trial.is_none() && is_news
+        let is_changed = now.is_suspect() && now != turn.standing;
+        now.is_quarantined() || turn.trial.is_none() && is_changed
     }
 
     /// Whether endpoints have ended under a request.
@@ -81,7 +81,7 @@
     }
 
     /// Notes that a request has brought its whole answer: it is no suspect any more.
-    pub(super) fn answered_whole(&self, job: &Job, turn: &mut QuarantineTurn) {
+    pub(super) fn on_response_complete(&self, job: &Job, turn: &mut QuarantineTurn) {
         match &mut turn.trial {
             Some(trial) => trial.finish(),
             None if self.is_suspect(job) => {
@@ -95,7 +95,7 @@
         self.node.standing(|| job.digest(self))
     }
 
-    fn note_trial(&self, job: &Job, standing: Standing, answer: &str) {
+    fn log_trial(&self, job: &Job, standing: Standing, answer: &str) {
         self.metrics.trial(answer);
         log::info!(
             event = EventId::TrialAsked.number(), id = job.caller.id.as_str(),
--- a/crates/server/src/relay/limited.rs
+++ b/crates/server/src/relay/rate_limit.rs
@@ -12,7 +12,7 @@
     units,
 };
 
-use super::{Job, QUEUE_PART, Relay, call::no_endpoint};
+use super::{Job, QUEUE_TIME_DIVISOR, Relay, call::no_endpoint_error};
 use crate::telemetry::EventId;
 
 /// Endpoints that one request for a permit names: as many as a question holds in one packet.
@@ -30,7 +30,7 @@
 impl Relay {
     /// Takes how much an endpoint takes, by an answer to a request that was sent at `asked`. What cannot be
     /// read changes nothing.
-    pub(super) fn note_limit(
+    pub(super) fn report_rate_limit(
         &self,
         service: &str,
         endpoint: &Registered,
@@ -67,81 +67,83 @@
     /// The endpoints that a call may be sent to now, but for what they say of how much they take.
     pub(super) fn open_endpoints(&self, job: &Job) -> Vec<Registered> {
         let endpoints = self.node.view().open_endpoints(&job.service);
-        self.loads.open(endpoints, self.cold_rule(job).as_ref())
+        self.load_balancer.retain_sendable(endpoints, self.cold_start_policy(job).as_ref())
     }
 
     /// The endpoint for an attempt at a call. The best one is asked for a permit if it names a limit; without a permit
     /// one that names none is next, and a first attempt waits only if there is none of these.
-    pub(super) async fn endpoint_for(
+    pub(super) async fn select_endpoint(
         &self,
         job: &Job,
         which: AttemptKind,
         tried: &[Arc<str>],
     ) -> Result<Registered, RequestError> {
         let open = self.admitted_endpoints(job, which, tried).await?;
-        let Some(best) = self.loads.choose(&open, tried, &self.hall) else {
-            return Err(no_endpoint(self, &job.service));
+        let Some(best) = self.load_balancer.select(&open, tried, &self.hall) else {
+            return Err(no_endpoint_error(self, &job.service));
         };
         if self.node.limit(&best.id).is_none() {
             return Ok(best);
         }
         let (mut limited, free): (Vec<_>, Vec<_>) =
             open.into_iter().partition(|endpoint| self.node.limit(&endpoint.id).is_some());
-        self.loads.sort(&mut limited, &self.hall);
+        self.load_balancer.sort_by_cost(&mut limited, &self.hall);
         let max_wait = match which {
             AttemptKind::First if free.is_empty() => self.max_queue_time(job),
             AttemptKind::First | AttemptKind::Retry => Duration::ZERO,
         };
         let began = Instant::now();
-        let permit = self.ask_for_permit(job, &limited, max_wait, free.is_empty()).await;
+        let permit = self.request_permit(job, &limited, max_wait, free.is_empty()).await;
         let (end, chosen) = match permit {
-            Permit::Granted(endpoint) => ("granted", self.granted(job, &endpoint)),
-            Permit::Denied { retry_after } => match self.loads.choose(&free, tried, &self.hall) {
-                Some(endpoint) => ("elsewhere", Ok(endpoint)),
-                None => ("refused", Err(no_turn(&job.service, retry_after))),
-            },
+            Permit::Granted(endpoint) => ("granted", self.granted_endpoint(job, &endpoint)),
+            Permit::Denied { retry_after } => {
+                match self.load_balancer.select(&free, tried, &self.hall) {
+                    Some(endpoint) => ("elsewhere", Ok(endpoint)),
+                    None => ("refused", Err(rate_limited_error(&job.service, retry_after))),
+                }
+            }
         };
-        self.note_permit(job, &best, end, began.elapsed());
+        self.log_permit(job, &best, end, began.elapsed());
         chosen
     }
 
     /// Asks for a permit at one of these endpoints.
-    async fn ask_for_permit(
+    async fn request_permit(
         &self,
         job: &Job,
         limited: &[Registered],
         max_wait: Duration,
-        is_only_way: bool,
+        is_only_option: bool,
     ) -> Permit {
         let now = Instant::now();
-        let not_before = self.no_permit_until.borrow().get(&job.service).copied();
-        if let Some(until) = not_before.filter(|until| now < *until && !is_only_way) {
+        let not_before = self.permit_denied_until.borrow().get(&job.service).copied();
+        if let Some(until) = not_before.filter(|until| now < *until && !is_only_option) {
             return Permit::Denied { retry_after: until.saturating_duration_since(now) };
         }
         let candidates = limited.iter().take(MAX_CANDIDATES).map(|endpoint| endpoint.id.clone());
         let permit = self.node.permit(&job.service, candidates.collect(), max_wait).await;
         if let Permit::Denied { retry_after } = permit {
             let until = Instant::now() + retry_after;
-            self.no_permit_until.borrow_mut().insert(job.service.clone(), until);
+            self.permit_denied_until.borrow_mut().insert(job.service.clone(), until);
         }
         permit
     }
 
     /// The endpoint that a permit was given for, if it may still be sent anything.
-    fn granted(&self, job: &Job, endpoint: &str) -> Result<Registered, RequestError> {
+    fn granted_endpoint(&self, job: &Job, endpoint: &str) -> Result<Registered, RequestError> {
         let mut open = self.open_endpoints(job).into_iter();
         let still_open = open.find(|open| *open.id == *endpoint);
-        still_open.ok_or_else(|| no_endpoint(self, &job.service))
+        still_open.ok_or_else(|| no_endpoint_error(self, &job.service))
     }
 
     /// How long a call may wait before it is sent, so that its answer still comes in time.
     pub(super) fn max_queue_time(&self, job: &Job) -> Duration {
-        let taken = job.arrived.elapsed() + self.usual_latency(&job.service);
+        let taken = job.received_at.elapsed() + self.mean_latency(&job.service);
         let in_time = job.route.spec.target_latency.saturating_sub(taken);
-        in_time.min(job.time_left() / QUEUE_PART)
+        in_time.min(job.time_left() / QUEUE_TIME_DIVISOR)
     }
 
-    fn note_permit(&self, job: &Job, endpoint: &Registered, end: &str, took: Duration) {
+    fn log_permit(&self, job: &Job, endpoint: &Registered, end: &str, took: Duration) {
         self.metrics.permit(&job.service, end);
         log::info!(
             event = EventId::PermitRequested.number(), id = job.caller.id.as_str(),
@@ -153,7 +155,7 @@
 }
 
 /// The answer to a call that no endpoint takes in time.
-fn no_turn(service: &str, retry_after: Duration) -> RequestError {
+fn rate_limited_error(service: &str, retry_after: Duration) -> RequestError {
     let millis = retry_after.as_millis();
     let message = format!("all endpoints of {service} are rate limited; retry after {millis} ms");
     let mut error = RequestError::new(ErrorKind::Overloaded, message);
--- a/crates/server/src/relay/moves.rs
+++ b/crates/server/src/relay/relocation.rs
@@ -16,37 +16,37 @@
 };
 
 /// Largest answer to an order.
-const MAX_ANSWER: usize = 64 * 1024;
+const MAX_REPLY_BYTES: usize = 64 * 1024;
 
 /// How a move ended.
 #[derive(Debug)]
-pub(super) enum MoveEnd {
+pub(super) enum RelocationResult {
     /// The generation has stopped and its memory lies ready.
     Stopped {
         /// Where.
-        memory: KvCopy,
+        kv_copy: KvCopy,
         /// The endpoint that has the copy.
         to: Arc<str>,
     },
     /// The generation ended by itself.
-    NoSuchRun,
+    NotRunning,
     /// It runs on where it was.
     Failed(String),
 }
 
-impl MoveEnd {
+impl RelocationResult {
     pub(super) fn name(&self) -> &'static str {
         match self {
-            MoveEnd::Stopped { .. } => "stopped",
-            MoveEnd::NoSuchRun => "no_such_run",
-            MoveEnd::Failed(_) => "failed",
+            RelocationResult::Stopped { .. } => "stopped",
+            RelocationResult::NotRunning => "no_such_run",
+            RelocationResult::Failed(_) => "failed",
         }
     }
 
     pub(super) fn detail(&self) -> &str {
         match self {
-            MoveEnd::Failed(problem) => problem,
-            MoveEnd::Stopped { .. } | MoveEnd::NoSuchRun => "",
+            RelocationResult::Failed(error) => error,
+            RelocationResult::Stopped { .. } | RelocationResult::NotRunning => "",
         }
     }
 }
@@ -55,25 +55,30 @@
 #[derive(Default)]
 struct Progress {
     stopping: Cell<bool>,
-    abandoned: Cell<bool>,
+    cancelled: Cell<bool>,
 }
 
 /// A move on its way.
-pub(super) struct Move {
-    pub(super) began: Instant,
+pub(super) struct Relocation {
+    pub(super) started_at: Instant,
     /// Where it is to go on.
     pub(super) to: Arc<str>,
     relay: Rc<Relay>,
     progress: Rc<Progress>,
-    future: LocalFuture<'static, MoveEnd>,
+    future: LocalFuture<'static, RelocationResult>,
 }
 
-impl Move {
-    pub(super) fn begin(relay: Rc<Relay>, job: Rc<Job>, from: Registered, to: Registered) -> Move {
+impl Relocation {
+    pub(super) fn start(
+        relay: Rc<Relay>,
+        job: Rc<Job>,
+        from: Registered,
+        to: Registered,
+    ) -> Relocation {
         let progress = Rc::new(Progress::default());
         let destination = to.id.clone();
         let future = Box::pin(run(relay.clone(), job, from, to, progress.clone()));
-        Move { began: Instant::now(), to: destination, relay, progress, future }
+        Relocation { started_at: Instant::now(), to: destination, relay, progress, future }
     }
 
     /// Whether the generation was told to stop.
@@ -83,16 +88,16 @@
 
     /// Ends a move whose generation nobody wants any more. What was copied holds memory at both
     /// engines, for seconds, until it is freed.
-    pub(super) fn abandon(self) {
-        self.progress.abandoned.set(true);
+    pub(super) fn cancel(self) {
+        self.progress.cancelled.set(true);
         tokio::task::spawn_local(async move {
-            if let MoveEnd::Stopped { memory, .. } = self.future.await {
-                free(&self.relay, &memory).await;
+            if let RelocationResult::Stopped { kv_copy, .. } = self.future.await {
+                free_copy(&self.relay, &kv_copy).await;
             }
         });
     }
 
-    pub(super) async fn end(&mut self) -> MoveEnd {
+    pub(super) async fn result(&mut self) -> RelocationResult {
         self.future.as_mut().await
     }
 }
@@ -103,42 +108,42 @@
     from: Registered,
     to: Registered,
     progress: Rc<Progress>,
-) -> MoveEnd {
+) -> RelocationResult {
     let source = from.address;
-    let order = |last| CopyCommand { id: &job.caller.id, to: to.address, is_final: last };
-    let first = match copy(&relay, &job.service, &from, &order(false)).await {
+    let command = |last| CopyCommand { id: &job.caller.id, to: to.address, is_final: last };
+    let first = match send_copy_command(&relay, &job.service, &from, &command(false)).await {
         Ok(CopyReply::Done { handle, .. }) => KvCopy { source, handle },
-        Ok(CopyReply::NotRunning) => return MoveEnd::NoSuchRun,
-        Ok(CopyReply::Busy) => return MoveEnd::Failed("another copy is on its way".into()),
-        Ok(CopyReply::Refused { .. }) => return MoveEnd::Failed("no room for the copy".into()),
-        Ok(CopyReply::Malformed) => return MoveEnd::Failed("malformed answer".into()),
-        Err(problem) => return MoveEnd::Failed(problem),
+        Ok(CopyReply::NotRunning) => return RelocationResult::NotRunning,
+        Ok(CopyReply::Busy) => return RelocationResult::Failed("another copy is active".into()),
+        Ok(CopyReply::Refused { .. }) => return RelocationResult::Failed("no memory".into()),
+        Ok(CopyReply::Malformed) => return RelocationResult::Failed("malformed answer".into()),
+        Err(error) => return RelocationResult::Failed(error),
     };
-    if progress.abandoned.get() {
-        free(&relay, &first).await;
-        return MoveEnd::NoSuchRun;
+    if progress.cancelled.get() {
+        free_copy(&relay, &first).await;
+        return RelocationResult::NotRunning;
     }
     progress.stopping.set(true);
-    match copy(&relay, &job.service, &from, &order(true)).await {
+    match send_copy_command(&relay, &job.service, &from, &command(true)).await {
         Ok(CopyReply::Done { handle, .. }) => {
-            MoveEnd::Stopped { memory: KvCopy { source, handle }, to: to.id }
+            RelocationResult::Stopped { kv_copy: KvCopy { source, handle }, to: to.id }
         }
         // It has stopped, and its memory is still where it was.
         Ok(CopyReply::Refused { handle: Some(handle) }) => {
-            MoveEnd::Stopped { memory: KvCopy { source, handle }, to: from.id }
+            RelocationResult::Stopped { kv_copy: KvCopy { source, handle }, to: from.id }
         }
-        Ok(CopyReply::NotRunning) => MoveEnd::NoSuchRun,
-        Ok(CopyReply::Busy) => MoveEnd::Failed("another copy is on its way".into()),
-        Ok(CopyReply::Refused { handle: None }) => MoveEnd::Failed("no room for the copy".into()),
-        Ok(CopyReply::Malformed) => MoveEnd::Failed("malformed answer".into()),
-        Err(problem) => MoveEnd::Failed(problem),
+        Ok(CopyReply::NotRunning) => RelocationResult::NotRunning,
+        Ok(CopyReply::Busy) => RelocationResult::Failed("another copy is active".into()),
+        Ok(CopyReply::Refused { handle: None }) => RelocationResult::Failed("no memory".into()),
+        Ok(CopyReply::Malformed) => RelocationResult::Failed("malformed answer".into()),
+        Err(error) => RelocationResult::Failed(error),
     }
 }
 
 /// Frees a copy at both engines. One that cannot be freed expires after some seconds.
-pub(super) async fn free(relay: &Relay, memory: &KvCopy) {
-    let req = relay.protocol.free_request(&memory.handle);
-    let freed = exchange(memory.source, req, relay.options.connect_timeout);
+pub(super) async fn free_copy(relay: &Relay, kv_copy: &KvCopy) {
+    let req = relay.protocol.free_request(&kv_copy.handle);
+    let freed = exchange(kv_copy.source, req, relay.options.connect_timeout);
     match timeout(relay.options.copy_timeout, freed).await {
         Ok(Ok(_)) => {}
         Ok(Err(e)) => log::debug!("a copy was not freed: {e}"),
@@ -146,20 +151,20 @@
     }
 }
 
-async fn copy(
+async fn send_copy_command(
     relay: &Relay,
     service: &str,
     from: &Registered,
-    order: &CopyCommand<'_>,
+    command: &CopyCommand<'_>,
 ) -> Result<CopyReply, String> {
     let ask = async {
         let asked = relay.node.now();
-        let req = relay.protocol.copy_request(order);
+        let req = relay.protocol.copy_request(command);
         let open = exchange(from.address, req, relay.options.connect_timeout).await;
         let open = open.map_err(|e: SendError| e.to_string())?;
         let head = open.head;
-        relay.on_own_answer(service, from, asked, &head);
-        let body = open.body.collect(MAX_ANSWER).await?;
+        relay.on_control_response(service, from, asked, &head);
+        let body = open.body.collect(MAX_REPLY_BYTES).await?;
         Ok(relay.protocol.decode_copy_reply(&head, &body))
     };
     timeout(relay.options.copy_timeout, ask)
--- /dev/null
+++ b/crates/server/src/relay/retry_budget.rs
@@ -0,0 +1,53 @@
+//! Repeats that this entry may send, as its share of what all entries may.
+
+use std::{collections::VecDeque, time::Duration};
+
+use trayswitch_core::units::Instant;
+
+use super::RelayOptions;
+
+/// Part of the operators' bound that is used: entries count in windows that begin at other
+/// moments, and one that starts anew has forgotten what it sent.
+const USED_FRACTION: f64 = 0.75;
+/// Daemons that are assumed to share the bound while their number is not known.
+const ASSUMED_DAEMON_COUNT: u64 = 16;
+
+/// Requests and repeats of one service in the last window.
+#[derive(Debug, Default)]
+pub(super) struct RetryBudget {
+    requests: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
+}
+
+impl RetryBudget {
+    /// Counts a caller's request.
+    pub(super) fn record_request(&mut self, options: &RelayOptions, now: Instant) {
+        evict_expired(&mut self.requests, options.retry_window, now);
+        self.requests.push_back(now);
+    }
+
+    /// Counts a repeat if there may be one more.
+    pub(super) fn try_acquire(
+        &mut self,
+        options: &RelayOptions,
+        daemons: u64,
+        now: Instant,
+    ) -> bool {
+        evict_expired(&mut self.requests, options.retry_window, now);
+        evict_expired(&mut self.retries, options.retry_window, now);
+        let daemons = if daemons == 0 { ASSUMED_DAEMON_COUNT } else { daemons };
+        let by_requests = options.retry_ratio * self.requests.len() as f64;
+        let allowed = USED_FRACTION * (by_requests + options.retry_slack / daemons as f64);
+        let acquired = (self.retries.len() + 1) as f64 <= allowed;
+        if acquired {
+            self.retries.push_back(now);
+        }
+        acquired
+    }
+}
+
+fn evict_expired(times: &mut VecDeque<Instant>, window: Duration, now: Instant) {
+    while times.front().is_some_and(|at| window <= now.since(*at)) {
+        times.pop_front();
+    }
+}
--- a/crates/server/src/relay/signals.rs
+++ b/crates/server/src/relay/signals.rs
@@ -14,7 +14,7 @@
 
 impl Relay {
     /// Takes what an endpoint says of itself in an answer to a caller's request that was sent at `asked`.
-    pub(super) fn on_answer(
+    pub(super) fn on_response(
         &self,
         service: &str,
         endpoint: &Registered,
@@ -22,14 +22,14 @@
         head: &response::Parts,
     ) -> Signals {
         let signals = self.read_signals(service, endpoint, head);
-        self.note_limit(service, endpoint, asked, &signals);
-        self.note_state(endpoint, &signals);
+        self.report_rate_limit(service, endpoint, asked, &signals);
+        self.report_state(endpoint, &signals);
         signals
     }
 
     /// The same of an answer to a question of this daemon's own, or of one that is not the request's. An endpoint may
     /// name its limit to requests only, so one that is not named here still holds.
-    pub(super) fn on_own_answer(
+    pub(super) fn on_control_response(
         &self,
         service: &str,
         endpoint: &Registered,
@@ -38,21 +38,21 @@
     ) {
         let signals = self.read_signals(service, endpoint, head);
         if signals.limit != Ok(None) {
-            self.note_limit(service, endpoint, asked, &signals);
+            self.report_rate_limit(service, endpoint, asked, &signals);
         }
-        self.note_state(endpoint, &signals);
+        self.report_state(endpoint, &signals);
     }
 
-    fn note_state(&self, endpoint: &Registered, signals: &Signals) {
+    fn report_state(&self, endpoint: &Registered, signals: &Signals) {
         if signals.is_leaving() {
-            self.note_leaving(endpoint);
+            self.report_leaving(endpoint);
         }
         if let Ok(Some(left)) = signals.cold_for {
             let (endpoint, started_at) = (endpoint.id.clone(), endpoint.born);
             self.node.input(Input::Cold { endpoint, started_at, left });
         }
         if signals.backoff().is_some() {
-            self.note_rejection(endpoint, signals);
+            self.report_rejection(endpoint, signals);
         }
     }
 
@@ -64,14 +64,14 @@
         asked: units::Instant,
         head: &response::Parts,
     ) -> Signals {
-        let signals = self.on_answer(service, endpoint, asked, head);
+        let signals = self.on_response(service, endpoint, asked, head);
         if signals.backoff().is_none() {
-            self.note_rejection(endpoint, &signals);
+            self.report_rejection(endpoint, &signals);
         }
         signals
     }
 
-    fn note_leaving(&self, endpoint: &Registered) {
+    fn report_leaving(&self, endpoint: &Registered) {
         let known = self.node.view().endpoint(&endpoint.id);
         if known.is_some_and(|known| known.open) {
             let (endpoint, started_at) = (endpoint.id.clone(), endpoint.born);
@@ -79,7 +79,7 @@
         }
     }
 
-    fn note_rejection(&self, endpoint: &Registered, signals: &Signals) {
+    fn report_rejection(&self, endpoint: &Registered, signals: &Signals) {
         self.node.input(Input::Rejected(Rejection {
             endpoint: endpoint.id.clone(),
             started_at: endpoint.born,
--- /dev/null
+++ b/crates/server/src/relay/stream/relocation.rs
@@ -0,0 +1,177 @@
+//! Moves of a running generation, as its pump follows them.
+
+use std::{future::pending, sync::Arc, time::Duration};
+
+use tokio::time::timeout;
+use trayswitch_clock::Instant;
+
+use super::{EndReason, StreamForwarder};
+use crate::{
+    relay::{
+        KvCopy,
+        event_stream::StreamItem,
+        generation::{Opened, open_on_endpoint},
+        job::ResumeFrom,
+        relocation::{Relocation, RelocationResult},
+    },
+    runtime::MoveOrder,
+    telemetry::EventId,
+    timer::until,
+};
+
+/// After a generation has stopped, what it made before is on the connection already.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
+
+impl StreamForwarder {
+    /// Whether the generation may have been stopped by a move.
+    pub(super) fn is_stopping(&self) -> bool {
+        self.relocation.as_ref().is_some_and(Relocation::is_stopping)
+    }
+
+    /// Begins a move, unless one of its endpoints has gone, or nothing may be sent to the second.
+    pub(super) fn start_relocation(&mut self, order: &MoveOrder) {
+        let view = self.relay.node.view();
+        let (from, to) = (view.endpoint(&order.from), view.endpoint(&order.to));
+        let to = to.filter(|to| self.relay.may_send(to).is_ok());
+        let from = from.filter(|from| self.relay.may_request_copies(from));
+        let (Some(from), Some(to)) = (from, to) else {
+            let at = self.placed.endpoint().clone();
+            return self.placed.moved(&at, false);
+        };
+        self.relocation = Some(Relocation::start(self.relay.clone(), self.job.clone(), from, to));
+    }
+
+    /// The stream closed while the generation was being stopped: the move says what it means.
+    pub(super) async fn on_stream_closed_during_relocation(
+        &mut self,
+        ended: bool,
+    ) -> Result<(), EndReason> {
+        let result = next_relocation_result(&mut self.relocation);
+        let result =
+            until(self.job.deadline, result).await.map_err(|_| EndReason::DeadlineExceeded)?;
+        if matches!(result, RelocationResult::NotRunning) && ended {
+            return Err(EndReason::Completed);
+        }
+        if let RelocationResult::Stopped { .. } = result {
+            return self.on_relocation_result(result).await;
+        }
+        self.on_relocation_result(result).await?;
+        if !ended {
+            self.on_attempt_failed().await;
+        }
+        let error = "the endpoint closed the stream during a move".to_owned();
+        self.restart(error).await
+    }
+
+    /// Does what the end of a move calls for.
+    pub(super) async fn on_relocation_result(
+        &mut self,
+        result: RelocationResult,
+    ) -> Result<(), EndReason> {
+        let Some(relocation) = self.relocation.take() else { return Ok(()) };
+        let from = self.placed.endpoint().clone();
+        let took = relocation.started_at.elapsed();
+        match result {
+            RelocationResult::Stopped { kv_copy, to } => {
+                self.finish_relocation(&kv_copy, &from, &to, took).await
+            }
+            RelocationResult::NotRunning | RelocationResult::Failed(_) => {
+                log::info!(
+                    event = EventId::MoveEnded.number(), id = self.job.caller.id.as_str(),
+                    from = &*from, to = &*relocation.to, end = result.name(), detail = result.detail(),
+                    took_ms = took.as_millis() as u64;
+                    "a generation was not moved"
+                );
+                self.placed.moved(&from, false);
+                self.relay.metrics.moved(result.name());
+                Ok(())
+            }
+        }
+    }
+
+    /// Goes on elsewhere with a generation that a move has stopped.
+    async fn finish_relocation(
+        &mut self,
+        kv_copy: &KvCopy,
+        from: &Arc<str>,
+        to: &Arc<str>,
+        took: Duration,
+    ) -> Result<(), EndReason> {
+        let stopped = Instant::now();
+        self.unclaimed_copy = Some(kv_copy.clone());
+        // The links are free for the next copy while this generation starts again.
+        self.placed.moved(to, to != from);
+        let went_on = match self.drain_stopped().await {
+            Ok(()) => self.resume_from_copy(kv_copy, from, to).await,
+            Err(cause) => Err(cause),
+        };
+        let result = match went_on {
+            Ok(()) => "moved",
+            Err(EndReason::CallerDisconnected) => "caller_left",
+            Err(_) => "lost",
+        };
+        log::info!(
+            event = EventId::MoveEnded.number(), id = self.job.caller.id.as_str(),
+            from = &**from, to = &**to, end = result, took_ms = took.as_millis() as u64,
+            pause_ms = stopped.elapsed().as_millis() as u64, last = self.last_event_id.unwrap_or(0);
+            "a generation was moved"
+        );
+        self.relay.metrics.moved(result);
+        went_on
+    }
+
+    /// Passes on what the stopped generation made before.
+    async fn drain_stopped(&mut self) -> Result<(), EndReason> {
+        let until = Instant::now() + DRAIN_TIMEOUT;
+        loop {
+            let left = until.saturating_duration_since(Instant::now());
+            match timeout(left, self.event_stream.next()).await {
+                Ok(StreamItem::Event(event)) => self.forward_event(event).await?,
+                Ok(StreamItem::End | StreamItem::Error(_)) | Err(_) => return Ok(()),
+            }
+        }
+    }
+
+    /// Goes on at the endpoint that has the copy, or else at the one that stopped.
+    async fn resume_from_copy(
+        &mut self,
+        kv_copy: &KvCopy,
+        from: &Arc<str>,
+        to: &Arc<str>,
+    ) -> Result<(), EndReason> {
+        let resume_from = ResumeFrom {
+            last_event_id: self.last_event_id,
+            kv_copy: Some(kv_copy.clone()),
+            ..ResumeFrom::default()
+        };
+        let mut error = String::new();
+        let endpoints = if to == from { &[from][..] } else { &[to, from] };
+        for endpoint in endpoints.iter().copied() {
+            let opened =
+                open_on_endpoint(&self.relay, &self.job, &self.turn, endpoint, &resume_from);
+            let opened = until(self.job.deadline, opened).await;
+            match opened.map_err(|_| EndReason::DeadlineExceeded)? {
+                Ok(Opened::Stream { event_stream, first, .. }) => {
+                    self.unclaimed_copy = None;
+                    if endpoint != to {
+                        self.placed.moved(endpoint, false);
+                    }
+                    return self.switch_to(event_stream, first).await;
+                }
+                Ok(Opened::Failed { head, .. }) => error = head.status.to_string(),
+                Err(lost) => error = format!("{lost:?}"),
+            }
+        }
+        Err(EndReason::GenerationLost(format!("the copy could not be used: {error}")))
+    }
+}
+
+/// The end of the move on its way; never without one.
+pub(super) async fn next_relocation_result(
+    relocation: &mut Option<Relocation>,
+) -> RelocationResult {
+    match relocation {
+        Some(relocation) => relocation.result().await,
+        None => pending().await,
+    }
+}
--- a/crates/server/src/relay/tests/backoff.rs
+++ b/crates/server/src/relay/tests/backoff.rs
@@ -19,9 +19,9 @@
 use tokio::join;
 
 use super::{
-    endpoint::{Arrival, FakeEndpoint, either},
-    entry::{Entry, on_local_tasks},
-    reading::{Reading, outcome, text},
+    fake_endpoint::{Arrival, FakeEndpoint, next_arrival_at},
+    response::{ResponseReader, outcome, text},
+    test_daemon::{TestDaemon, run_test},
 };
 
 /// Back-off in seconds that no test outlasts.
@@ -29,25 +29,25 @@
 /// Requests that are sent, one after the other.
 const REQUESTS: u32 = 40;
 
-/// Sends requests one after the other. What comes to the endpoint called `wary` is answered by `answer`, which
+/// Sends requests one after the other. What comes to the endpoint called `backing_off` is answered by `answer`, which
 /// returns whether the caller is answered by it; all else is answered well. Returns how many requests the wary
 /// endpoint has got.
 async fn send_all(
-    entry: &Entry,
+    daemon: &TestDaemon,
     path: &str,
-    wary: &mut FakeEndpoint,
+    backing_off: &mut FakeEndpoint,
     other: &mut FakeEndpoint,
     answer: impl Fn(Arrival) -> bool,
 ) -> u32 {
-    let mut at_wary = 0;
+    let mut sent_to_backing_off = 0;
     for _ in 0..REQUESTS {
-        let (answered, ()) = join!(entry.ask(path, "r1"), async {
+        let (answered, ()) = join!(daemon.send(path, "r1"), async {
             loop {
-                let arrival = either(wary, other).await;
+                let arrival = next_arrival_at(backing_off, other).await;
                 if arrival.meant_for != "wary" {
                     return arrival.answer(200, "id: 1\ndata: token 1\n\n");
                 }
-                at_wary += 1;
+                sent_to_backing_off += 1;
                 if answer(arrival) {
                     return;
                 }
@@ -55,63 +55,68 @@
         });
         assert_that!(text(answered).await, ok(contains_substring("token 1")));
     }
-    at_wary
+    sent_to_backing_off
 }
 
-fn rejects(arrival: Arrival) -> bool {
+fn reject_with_long_backoff(arrival: Arrival) -> bool {
     arrival.reject(LONG);
     false
 }
 
-fn leaves(arrival: Arrival) -> bool {
-    arrival.leaving().answer(200, "id: 1\ndata: token 1\n\n");
+fn announce_leaving(arrival: Arrival) -> bool {
+    arrival.with_leaving().answer(200, "id: 1\ndata: token 1\n\n");
     true
 }
 
 #[gtest]
 fn calls_keep_away_from_an_endpoint_that_asks_for_back_off() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut wary = entry.register("desk", "wary").await;
-        let mut other = entry.register("desk", "other").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut backing_off = daemon.register("desk", "wary").await;
+        let mut other = daemon.register("desk", "other").await;
 
-        let at_wary = send_all(&entry, "/once/x", &mut wary, &mut other, rejects).await;
+        let sent_to_backing_off =
+            send_all(&daemon, "/once/x", &mut backing_off, &mut other, reject_with_long_backoff)
+                .await;
 
-        expect_that!(at_wary, le(1));
+        expect_that!(sent_to_backing_off, le(1));
     });
 }
 
 #[gtest]
 fn generations_keep_away_from_an_engine_that_asks_for_back_off() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut wary = entry.register("engines", "wary").await;
-        let mut other = entry.register("engines", "other").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut backing_off = daemon.register("engines", "wary").await;
+        let mut other = daemon.register("engines", "other").await;
 
-        let at_wary = send_all(&entry, "/chat/x", &mut wary, &mut other, rejects).await;
+        let sent_to_backing_off =
+            send_all(&daemon, "/chat/x", &mut backing_off, &mut other, reject_with_long_backoff)
+                .await;
 
-        expect_that!(at_wary, le(1));
+        expect_that!(sent_to_backing_off, le(1));
     });
 }
 
 #[gtest]
 fn an_endpoint_that_says_it_leaves_gets_nothing_new() {
-    on_local_tasks(async {
+    run_test(async {
         for (service, path) in [("desk", "/once/x"), ("engines", "/chat/x")] {
-            let entry = Entry::open().await;
-            let mut wary = entry.register(service, "wary").await;
-            let mut other = entry.register(service, "other").await;
+            let daemon = TestDaemon::open().await;
+            let mut backing_off = daemon.register(service, "wary").await;
+            let mut other = daemon.register(service, "other").await;
 
-            let at_wary = send_all(&entry, path, &mut wary, &mut other, leaves).await;
+            let sent_to_backing_off =
+                send_all(&daemon, path, &mut backing_off, &mut other, announce_leaving).await;
 
-            expect_that!(at_wary, le(1), "{service}");
+            expect_that!(sent_to_backing_off, le(1), "{service}");
         }
     });
 }
 
 /// Makes one call that an endpoint rejects with so much back-off and the other, if there is one, does not get.
-async fn rejected(entry: &Entry, path: &str, endpoint: &mut FakeEndpoint, retry_after: &str) {
-    let (answer, ()) = join!(entry.ask(path, "r1"), async {
+async fn rejected(daemon: &TestDaemon, path: &str, endpoint: &mut FakeEndpoint, retry_after: &str) {
+    let (answer, ()) = join!(daemon.send(path, "r1"), async {
         endpoint.arrival().await.reject(retry_after);
     });
     assert_that!(answer.head.status.as_u16(), eq(503));
@@ -119,16 +124,16 @@
 
 #[gtest]
 fn a_generation_goes_to_no_engine_twice_that_has_rejected_it() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
         let mut engines = [
-            entry.register("engines", "e1").await,
-            entry.register("engines", "e2").await,
-            entry.register("engines", "e3").await,
+            daemon.register("engines", "e1").await,
+            daemon.register("engines", "e2").await,
+            daemon.register("engines", "e3").await,
         ];
         let [e1, e2, e3] = &mut engines;
 
-        let (answer, rejected) = join!(entry.ask("/chat/x", "r1"), async {
+        let (answer, rejected) = join!(daemon.send("/chat/x", "r1"), async {
             let mut rejected = Vec::new();
             while rejected.len() < 2 {
                 let arrival = tokio::select! {
@@ -137,7 +142,7 @@
                     arrival = e3.arrival() => arrival,
                 };
                 rejected.push(arrival.meant_for.clone());
-                arrival.turn_away("full");
+                arrival.reject_unexecuted("full");
             }
             let arrival = tokio::select! {
                 arrival = e1.arrival() => arrival,
@@ -156,13 +161,13 @@
 
 #[gtest]
 fn where_every_endpoint_has_asked_for_back_off_the_next_request_is_refused_at_once() {
-    on_local_tasks(async {
+    run_test(async {
         for (service, path) in [("desk", "/soon/x"), ("engines", "/brief/x")] {
-            let entry = Entry::open().await;
-            let mut endpoint = entry.register(service, "e1").await;
-            rejected(&entry, path, &mut endpoint, LONG).await;
+            let daemon = TestDaemon::open().await;
+            let mut endpoint = daemon.register(service, "e1").await;
+            rejected(&daemon, path, &mut endpoint, LONG).await;
 
-            let refused = entry.ask(path, "r2").await;
+            let refused = daemon.send(path, "r2").await;
 
             expect_that!(outcome(&refused), some(eq("overloaded")), "{path}");
             expect_that!(refused.head.status.as_u16(), eq(503), "{path}");
@@ -173,18 +178,18 @@
 
 #[gtest]
 fn a_request_whose_answer_still_comes_in_time_waits_for_the_end_of_a_back_off() {
-    on_local_tasks(async {
+    run_test(async {
         for (service, path) in [("desk", "/once/x"), ("engines", "/chat/x")] {
-            let entry = Entry::open().await;
-            let mut wary = entry.register(service, "e1").await;
+            let daemon = TestDaemon::open().await;
+            let mut backing_off = daemon.register(service, "e1").await;
             let first = async {
-                wary.arrival().await.reject("0.2");
+                backing_off.arrival().await.reject("0.2");
                 // A generation waits for a place itself, a call is made again.
-                wary.arrival().await.answer(200, "id: 1\ndata: token 1\n\n");
+                backing_off.arrival().await.answer(200, "id: 1\ndata: token 1\n\n");
             };
             let asks = async {
-                let first = entry.ask(path, "r1").await;
-                if first.head.status.is_success() { first } else { entry.ask(path, "r2").await }
+                let first = daemon.send(path, "r1").await;
+                if first.head.status.is_success() { first } else { daemon.send(path, "r2").await }
             };
 
             let (answer, ()) = join!(asks, first);
@@ -196,15 +201,15 @@
 
 #[gtest]
 fn after_a_back_off_one_call_is_sent_until_it_is_answered() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut endpoint = entry.register("desk", "e1").await;
-        rejected(&entry, "/once/x", &mut endpoint, "0.05").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut endpoint = daemon.register("desk", "e1").await;
+        rejected(&daemon, "/once/x", &mut endpoint, "0.05").await;
 
-        let asks = async { join!(entry.ask("/once/x", "r2"), entry.ask("/once/x", "r3")) };
+        let asks = async { join!(daemon.send("/once/x", "r2"), daemon.send("/once/x", "r3")) };
         let ((second, third), early) = join!(asks, async {
             let first = endpoint.arrival().await;
-            entry.has_in_progress(2).await;
+            daemon.wait_for_in_progress(2).await;
             let early = !endpoint.is_idle();
             first.answer(200, "done");
             endpoint.arrival().await.answer(200, "done");
@@ -219,13 +224,13 @@
 
 #[gtest]
 fn a_new_run_of_an_endpoint_gets_requests_whatever_the_former_one_has_asked_for() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut former = entry.register("desk", "e1").await;
-        rejected(&entry, "/once/x", &mut former, LONG).await;
-        let mut endpoint = entry.starts_again("desk", "e1").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut former = daemon.register("desk", "e1").await;
+        rejected(&daemon, "/once/x", &mut former, LONG).await;
+        let mut endpoint = daemon.restart_endpoint("desk", "e1").await;
 
-        let (answer, ()) = join!(entry.ask("/once/x", "r2"), async {
+        let (answer, ()) = join!(daemon.send("/once/x", "r2"), async {
             endpoint.arrival().await.answer(200, "done");
         });
 
@@ -235,46 +240,46 @@
 
 #[gtest]
 fn a_request_is_not_sent_to_an_endpoint_that_has_asked_for_back_off_since_it_was_chosen() {
-    on_local_tasks(async {
+    run_test(async {
         // Without a scheduler both engines are asked for their loads once they are chosen.
-        let entry = Entry::without_scheduler().await;
-        let mut wary = entry.register("engines", "wary").await;
-        let mut other = entry.register("engines", "other").await;
-        wary.tell_backoff(LONG);
-        other.tell_room(1_000, true);
+        let daemon = TestDaemon::without_scheduler().await;
+        let mut backing_off = daemon.register("engines", "wary").await;
+        let mut other = daemon.register("engines", "other").await;
+        backing_off.set_load_retry_after(LONG);
+        other.set_capacity(1_000, true);
 
-        let (answer, ()) = join!(entry.ask("/chat/x", "r1"), async {
+        let (answer, ()) = join!(daemon.send("/chat/x", "r1"), async {
             other.arrival().await.answer(200, "id: 1\ndata: token 1\n\n");
         });
 
         expect_that!(text(answer).await, ok(contains_substring("token 1")));
-        expect_true!(wary.is_idle());
+        expect_true!(backing_off.is_idle());
         let withheld = "trayswitch_attempts_total{end=\"withheld\",service=\"engines\"}";
-        entry.has_counted(withheld, 1).await;
+        daemon.wait_for_metric(withheld, 1).await;
     });
 }
 
 #[gtest]
 fn a_generation_is_not_moved_to_an_engine_that_has_asked_for_back_off() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut to = entry.register("engines", "to").await;
-        rejected(&entry, "/brief/x", &mut to, LONG).await;
-        let mut from = entry.register("engines", "from").await;
-        let (answer, stream) = join!(entry.ask("/chat/x", "r2"), async {
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut to = daemon.register("engines", "to").await;
+        rejected(&daemon, "/brief/x", &mut to, LONG).await;
+        let mut from = daemon.register("engines", "from").await;
+        let (answer, stream) = join!(daemon.send("/chat/x", "r2"), async {
             let stream = from.arrival().await.stream();
             stream.events(1..=3).await;
             stream
         });
-        let mut reading = Reading::new(answer);
-        reading.read_to(3).await;
+        let mut reader = ResponseReader::new(answer);
+        reader.read_to(3).await;
 
-        entry.leaves("from").await;
+        daemon.announce_leaving("from").await;
         stream.events(4..=40).await;
-        reading.read_to(40).await;
+        reader.read_to(40).await;
         stream.end();
 
-        expect_that!(reading.rest().await, ok(anything()));
+        expect_that!(reader.read_rest().await, ok(anything()));
         expect_true!(from.is_asked_for_no_copy());
         expect_true!(to.is_idle());
     });
@@ -282,12 +287,12 @@
 
 #[gtest]
 fn what_is_no_time_is_counted_and_closes_the_endpoint_to_nobody() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut endpoint = entry.register("desk", "e1").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut endpoint = daemon.register("desk", "e1").await;
 
         for retry_after in ["soon", "-1", "NaN", "0"] {
-            rejected(&entry, "/once/x", &mut endpoint, retry_after).await;
+            rejected(&daemon, "/once/x", &mut endpoint, retry_after).await;
         }
 
         let counted = |end| {
@@ -295,25 +300,26 @@
                 "trayswitch_endpoint_signals_total{{end=\"{end}\",service=\"desk\",signal=\"backoff\"}}"
             )
         };
-        entry.has_counted(&counted("unreadable"), 3).await;
-        entry.has_counted(&counted("read"), 1).await;
-        entry.has_counted("trayswitch_backing_off_endpoints", 0).await;
+        daemon.wait_for_metric(&counted("unreadable"), 3).await;
+        daemon.wait_for_metric(&counted("read"), 1).await;
+        daemon.wait_for_metric("trayswitch_backing_off_endpoints", 0).await;
     });
 }
 
 #[gtest]
 fn back_off_holds_also_where_the_answer_is_not_the_requests_own() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut wary = entry.register("desk", "wary").await;
-        let mut other = entry.register("desk", "other").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut backing_off = daemon.register("desk", "wary").await;
+        let mut other = daemon.register("desk", "other").await;
 
         let crossed = |arrival: Arrival| {
-            arrival.backing_off(LONG).answer_crossed();
+            arrival.with_retry_after(LONG).respond_as_another_request();
             false
         };
-        let at_wary = send_all(&entry, "/again/x", &mut wary, &mut other, crossed).await;
+        let sent_to_backing_off =
+            send_all(&daemon, "/again/x", &mut backing_off, &mut other, crossed).await;
 
-        expect_that!(at_wary, le(1));
+        expect_that!(sent_to_backing_off, le(1));
     });
 }
--- a/crates/server/src/relay/tests/calls.rs
+++ b/crates/server/src/relay/tests/calls.rs
@@ -4,18 +4,18 @@
 use tokio::join;
 
 use super::{
-    endpoint::FakeEndpoint,
-    entry::{Entry, on_local_tasks},
-    reading::{outcome, text},
+    fake_endpoint::FakeEndpoint,
+    response::{outcome, text},
+    test_daemon::{TestDaemon, run_test},
 };
 
 #[gtest]
 fn an_answer_comes_back_whole_from_the_endpoint_that_was_meant() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut endpoint = entry.register("desk", "e1").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut endpoint = daemon.register("desk", "e1").await;
 
-        let (answer, meant_for) = join!(entry.ask("/once/x", "r1"), async {
+        let (answer, meant_for) = join!(daemon.send("/once/x", "r1"), async {
             let arrival = endpoint.arrival().await;
             let meant_for = arrival.meant_for.clone();
             arrival.answer(200, "done");
@@ -29,19 +29,19 @@
 
 #[gtest]
 fn a_call_that_was_turned_away_runs_at_another_endpoint() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
         let (mut e1, mut e2) =
-            (entry.register("desk", "e1").await, entry.register("desk", "e2").await);
+            (daemon.register("desk", "e1").await, daemon.register("desk", "e2").await);
 
-        let (answer, ()) = join!(entry.ask("/once/x", "r1"), async {
+        let (answer, ()) = join!(daemon.send("/once/x", "r1"), async {
             tokio::select! {
                 arrival = e1.arrival() => {
-                    arrival.turn_away("full");
+                    arrival.reject_unexecuted("full");
                     e2.arrival().await.answer(200, "done");
                 }
                 arrival = e2.arrival() => {
-                    arrival.turn_away("full");
+                    arrival.reject_unexecuted("full");
                     e1.arrival().await.answer(200, "done");
                 }
             }
@@ -53,15 +53,15 @@
 
 #[gtest]
 fn a_single_call_that_may_have_run_is_not_sent_again() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
         let (mut e1, mut e2) =
-            (entry.register("desk", "e1").await, entry.register("desk", "e2").await);
+            (daemon.register("desk", "e1").await, daemon.register("desk", "e2").await);
 
-        let (answer, other_is_idle) = join!(entry.ask("/once/x", "r1"), async {
+        let (answer, other_is_idle) = join!(daemon.send("/once/x", "r1"), async {
             tokio::select! {
-                arrival = e1.arrival() => { arrival.break_off(); e2.is_idle() }
-                arrival = e2.arrival() => { arrival.break_off(); e1.is_idle() }
+                arrival = e1.arrival() => { arrival.drop_connection(); e2.is_idle() }
+                arrival = e2.arrival() => { arrival.drop_connection(); e1.is_idle() }
             }
         });
 
@@ -73,12 +73,12 @@
 
 #[gtest]
 fn a_crossed_answer_reaches_nobody() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut endpoint = entry.register("desk", "e1").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut endpoint = daemon.register("desk", "e1").await;
 
-        let (answer, ()) = join!(entry.ask("/once/x", "r1"), async {
-            endpoint.arrival().await.answer_crossed();
+        let (answer, ()) = join!(daemon.send("/once/x", "r1"), async {
+            endpoint.arrival().await.respond_as_another_request();
         });
 
         expect_that!(outcome(&answer), some(eq("outcome_unknown")));
@@ -88,16 +88,16 @@
 
 #[gtest]
 fn a_call_that_may_be_repeated_gets_a_second_endpoint_and_no_third() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
         let mut endpoints = [
-            entry.register("desk", "e1").await,
-            entry.register("desk", "e2").await,
-            entry.register("desk", "e3").await,
+            daemon.register("desk", "e1").await,
+            daemon.register("desk", "e2").await,
+            daemon.register("desk", "e3").await,
         ];
 
         let [e1, e2, e3] = &mut endpoints;
-        let (answer, ()) = join!(entry.ask("/again/x", "r1"), async {
+        let (answer, ()) = join!(daemon.send("/again/x", "r1"), async {
             for _ in 0..2 {
                 tokio::select! {
                     arrival = e1.arrival() => arrival.answer(500, "failed"),
@@ -115,10 +115,10 @@
 
 #[gtest]
 fn a_call_without_an_endpoint_has_not_run() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
 
-        let answer = entry.ask("/once/x", "r1").await;
+        let answer = daemon.send("/once/x", "r1").await;
 
         expect_that!(outcome(&answer), some(eq("no_endpoint")));
         expect_that!(answer.head.status.as_u16(), eq(503));
@@ -127,14 +127,14 @@
 
 #[gtest]
 fn an_endpoint_that_leaves_gets_no_new_call() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
         let (mut e1, mut e2) =
-            (entry.register("desk", "e1").await, entry.register("desk", "e2").await);
-        entry.leaves("e1").await;
+            (daemon.register("desk", "e1").await, daemon.register("desk", "e2").await);
+        daemon.announce_leaving("e1").await;
 
         for _ in 0..10 {
-            let (answer, ()) = join!(entry.ask("/once/x", "r1"), async {
+            let (answer, ()) = join!(daemon.send("/once/x", "r1"), async {
                 e2.arrival().await.answer(200, "done");
             });
             expect_that!(text(answer).await, ok(eq("done")));
--- a/crates/server/src/relay/tests/cold.rs
+++ b/crates/server/src/relay/tests/cold_start.rs
@@ -8,11 +8,11 @@
     units::Instant,
 };
 
-use crate::relay::loads::{ColdRule, Loads, Outcome};
+use crate::relay::load_balancer::{ColdStartPolicy, LoadBalancer, Outcome};
 
 /// What an endpoint bears in a second while it is cold, and what it falls over at.
-const BEARS: u32 = 20;
-const FALLS_OVER: usize = 35;
+const COLD_RPS: u32 = 20;
+const OVERLOAD_RPS: usize = 35;
 const SECOND: Duration = Duration::from_secs(1);
 
 fn endpoint(n: usize, cold_until: Option<Instant>) -> Registered {
@@ -29,16 +29,20 @@
     }
 }
 
-fn rule(daemons: u64, now: Instant) -> ColdRule {
-    let bears = ColdStart { lasts: SECOND, interval: SECOND / BEARS };
-    ColdRule { bears, senders: SenderRole::one_of(daemons), now }
+fn policy(daemons: u64, now: Instant) -> ColdStartPolicy {
+    let limits = ColdStart { lasts: SECOND, interval: SECOND / COLD_RPS };
+    ColdStartPolicy { limits, senders: SenderRole::one_of(daemons), now }
 }
 
 /// Sends a request of a daemon, if it may send any; returns where.
-fn send(loads: &Loads, endpoints: &[Registered], rule: &ColdRule) -> Option<Arc<str>> {
-    let open = loads.open(endpoints.to_vec(), Some(rule));
-    let chosen = loads.choose(&open, &[], "h")?;
-    drop(loads.begin(&chosen.id, Some(rule)));
+fn send(
+    load_balancer: &LoadBalancer,
+    endpoints: &[Registered],
+    policy: &ColdStartPolicy,
+) -> Option<Arc<str>> {
+    let open = load_balancer.retain_sendable(endpoints.to_vec(), Some(policy));
+    let chosen = load_balancer.select(&open, &[], "h")?;
+    drop(load_balancer.start_request(&chosen.id, Some(policy)));
     Some(chosen.id)
 }
 
@@ -59,17 +63,18 @@
 fn daemons_together_send_a_cold_endpoint_what_it_bears_whatever_their_number() {
     fastrand::seed(7);
     for daemons in [1, 7, 64, 300] {
-        let all: Vec<Loads> = (0..daemons).map(|_| Loads::new(Disabled::default())).collect();
+        let all: Vec<LoadBalancer> =
+            (0..daemons).map(|_| LoadBalancer::new(Disabled::default())).collect();
         let endpoints = [endpoint(0, Some(Instant(0).after(SECOND * 5)))];
         let mut times = Vec::new();
         for at in 0..500 {
             let now = Instant(at * 10_000);
-            for loads in &all {
-                times.extend(send(loads, &endpoints, &rule(daemons, now)).map(|_| now));
+            for load_balancer in &all {
+                times.extend(send(load_balancer, &endpoints, &policy(daemons, now)).map(|_| now));
             }
         }
 
-        expect_that!(most_in_a_second(&times), le(FALLS_OVER), "{daemons} daemons");
+        expect_that!(most_in_a_second(&times), le(OVERLOAD_RPS), "{daemons} daemons");
         expect_that!(times.len(), ge(25), "{daemons} daemons: used in 5 s");
     }
 }
@@ -77,10 +82,10 @@
 #[gtest]
 fn while_cold_endpoints_take_no_more_the_others_are_chosen() {
     fastrand::seed(8);
-    let loads = Loads::new(Disabled::default());
+    let load_balancer = LoadBalancer::new(Disabled::default());
     let endpoints = [endpoint(0, Some(Instant(0).after(SECOND))), endpoint(1, None)];
     let chosen: Vec<Arc<str>> =
-        (0..50).filter_map(|_| send(&loads, &endpoints, &rule(64, Instant(0)))).collect();
+        (0..50).filter_map(|_| send(&load_balancer, &endpoints, &policy(64, Instant(0)))).collect();
 
     expect_that!(chosen.len(), eq(50));
     expect_that!(chosen.iter().filter(|id| &***id == "e0").count(), le(1));
@@ -89,11 +94,11 @@
 #[gtest]
 fn an_endpoint_that_did_not_answer_is_taken_for_cold_when_it_is_tried_again() {
     fastrand::seed(9);
-    let loads = Loads::new(Disabled::default());
+    let load_balancer = LoadBalancer::new(Disabled::default());
     let endpoints = [endpoint(0, None)];
-    loads.record_outcome(&"e0".into(), Outcome::Unreachable);
+    load_balancer.record_outcome(&"e0".into(), Outcome::Unreachable);
 
-    let chosen = (0..50).filter_map(|_| send(&loads, &endpoints, &rule(64, Instant(0))));
+    let chosen = (0..50).filter_map(|_| send(&load_balancer, &endpoints, &policy(64, Instant(0))));
 
     expect_that!(chosen.count(), le(1));
 }
@@ -101,12 +106,12 @@
 #[gtest]
 fn one_that_is_cold_no_more_is_sent_all() {
     fastrand::seed(10);
-    let loads = Loads::new(Disabled::default());
+    let load_balancer = LoadBalancer::new(Disabled::default());
     let endpoints = [endpoint(0, Some(Instant(0).after(SECOND)))];
-    send(&loads, &endpoints, &rule(64, Instant(0)));
+    send(&load_balancer, &endpoints, &policy(64, Instant(0)));
 
-    let warm = rule(64, Instant(0).after(SECOND));
-    let chosen = (0..50).filter_map(|_| send(&loads, &endpoints, &warm));
+    let warm = policy(64, Instant(0).after(SECOND));
+    let chosen = (0..50).filter_map(|_| send(&load_balancer, &endpoints, &warm));
 
     expect_that!(chosen.count(), eq(50));
 }
--- a/crates/server/src/relay/tests/endpoint.rs
+++ b/crates/server/src/relay/tests/fake_endpoint.rs
@@ -51,24 +51,24 @@
     }
 
     /// Lets the answer name a limit, or none.
-    pub(super) fn naming(self, limit: Option<&str>) -> Arrival {
+    pub(super) fn with_rate_limit(self, limit: Option<&str>) -> Arrival {
         match limit {
-            Some(limit) => self.saying(LIMIT, limit),
+            Some(limit) => self.with_header(LIMIT, limit),
             None => self,
         }
     }
 
     /// Lets the answer say that the endpoint is about to end.
-    pub(super) fn leaving(self) -> Arrival {
-        self.saying(LEAVING, "1")
+    pub(super) fn with_leaving(self) -> Arrival {
+        self.with_header(LEAVING, "1")
     }
 
     /// Lets the answer ask for this many seconds of back-off.
-    pub(super) fn backing_off(self, retry_after: &str) -> Arrival {
-        self.saying(RETRY_AFTER, retry_after)
+    pub(super) fn with_retry_after(self, retry_after: &str) -> Arrival {
+        self.with_header(RETRY_AFTER, retry_after)
     }
 
-    fn saying(mut self, name: &'static str, value: &str) -> Arrival {
+    fn with_header(mut self, name: &'static str, value: &str) -> Arrival {
         self.signals.push((name, value.to_owned()));
         self
     }
@@ -79,33 +79,33 @@
     }
 
     /// Says that it did not run.
-    pub(super) fn turn_away(self, why: &str) {
-        self.saying(NOT_RUN, why).respond(StatusCode::SERVICE_UNAVAILABLE, edge::empty());
+    pub(super) fn reject_unexecuted(self, why: &str) {
+        self.with_header(NOT_RUN, why).respond(StatusCode::SERVICE_UNAVAILABLE, edge::empty());
     }
 
     /// Says that it did not run, and asks for this many seconds of back-off.
     pub(super) fn reject(self, retry_after: &str) {
-        self.backing_off(retry_after).turn_away("full");
+        self.with_retry_after(retry_after).reject_unexecuted("full");
     }
 
     /// Answers with the id of another request.
-    pub(super) fn answer_crossed(self) {
+    pub(super) fn respond_as_another_request(self) {
         let crossed = Arrival { id: "another".into(), ..self };
         crossed.respond(StatusCode::OK, edge::full("not yours"));
     }
 
     /// Breaks the connection off without an answer.
-    pub(super) fn break_off(self) {
+    pub(super) fn drop_connection(self) {
         drop(self.answer);
     }
 
     /// Waits until nobody waits for the answer any more.
-    pub(super) async fn left(&mut self) {
+    pub(super) async fn wait_until_cancelled(&mut self) {
         self.answer.closed().await;
     }
 
     /// Streams the events of these ids and ends; returns the last event that the caller had.
-    pub(super) async fn stream_whole(self, ids: impl IntoIterator<Item = u64>) -> Option<u64> {
+    pub(super) async fn stream_all(self, ids: impl IntoIterator<Item = u64>) -> Option<u64> {
         let after = self.after;
         let stream = self.stream();
         stream.events(ids).await;
@@ -156,18 +156,18 @@
     }
 
     /// Breaks off.
-    pub(super) async fn cut(self) {
+    pub(super) async fn abort(self) {
         let _ = self.tx.send(Err(AnswerError("cut".to_owned()))).await;
     }
 
     /// Waits until nobody reads any more.
-    pub(super) async fn left(&self) {
+    pub(super) async fn wait_until_cancelled(&self) {
         self.tx.closed().await;
     }
 }
 
 /// An order to copy a generation's memory that waits for its answer.
-pub(super) struct CopyAsked {
+pub(super) struct PendingCopy {
     /// The generation.
     pub(super) id: String,
     /// Whether it is to stop.
@@ -175,7 +175,7 @@
     answer: oneshot::Sender<Response<Body>>,
 }
 
-impl CopyAsked {
+impl PendingCopy {
     /// Answers with a status and the name of the copy, if there is one.
     pub(super) fn answer(self, status: u16, handle: &'static str) {
         let res = Response::builder().status(status).body(edge::full(handle)).unwrap();
@@ -185,7 +185,7 @@
 
 /// What an engine says of its room, and what it was asked for.
 #[derive(Default)]
-struct Room {
+struct Capacity {
     /// Tokens in memory.
     used: Cell<u64>,
     /// Whether it keeps a place for whoever asks.
@@ -196,7 +196,7 @@
     asked: RefCell<Vec<u64>>,
 }
 
-impl Room {
+impl Capacity {
     fn load(&self) -> Response<Body> {
         let mut res = Response::builder();
         if let Some(retry_after) = &*self.retry_after.borrow() {
@@ -215,9 +215,9 @@
 
 /// Hands all that comes to the endpoint over to the test.
 struct Inbox {
-    room: Rc<Room>,
+    capacity: Rc<Capacity>,
     arrivals: mpsc::UnboundedSender<Arrival>,
-    copies: mpsc::UnboundedSender<CopyAsked>,
+    copies: mpsc::UnboundedSender<PendingCopy>,
     freed: mpsc::UnboundedSender<String>,
 }
 
@@ -231,17 +231,17 @@
             return;
         }
         if req.uri().path() == LOAD_PATH {
-            let _ = answer.send(self.room.load());
+            let _ = answer.send(self.capacity.load());
             return;
         }
         if let Some(tokens) = req.uri().path().strip_prefix(RESERVE_PATH) {
             let tokens = tokens.trim_start_matches('/').parse().unwrap();
-            let _ = answer.send(self.room.reserve(tokens));
+            let _ = answer.send(self.capacity.reserve(tokens));
             return;
         }
         if req.uri().path().starts_with(COPY_PATH) {
             let last = req.uri().path().ends_with("/last");
-            let _ = self.copies.send(CopyAsked { id, last, answer });
+            let _ = self.copies.send(PendingCopy { id, last, answer });
             return;
         }
         let arrival = Arrival {
@@ -290,9 +290,9 @@
 pub(super) struct FakeEndpoint {
     server: Server,
     arrivals: mpsc::UnboundedReceiver<Arrival>,
-    copies: mpsc::UnboundedReceiver<CopyAsked>,
+    copies: mpsc::UnboundedReceiver<PendingCopy>,
     freed: mpsc::UnboundedReceiver<String>,
-    room: Rc<Room>,
+    capacity: Rc<Capacity>,
 }
 
 impl FakeEndpoint {
@@ -301,11 +301,15 @@
         let (arrivals_tx, arrivals) = mpsc::unbounded_channel();
         let (copies_tx, copies) = mpsc::unbounded_channel();
         let (freed_tx, freed) = mpsc::unbounded_channel();
-        let room = Rc::new(Room::default());
-        let inbox =
-            Inbox { room: room.clone(), arrivals: arrivals_tx, copies: copies_tx, freed: freed_tx };
+        let capacity = Rc::new(Capacity::default());
+        let inbox = Inbox {
+            capacity: capacity.clone(),
+            arrivals: arrivals_tx,
+            copies: copies_tx,
+            freed: freed_tx,
+        };
         let server = edge::bind("127.0.0.1:0".parse().unwrap(), Rc::new(inbox)).unwrap();
-        FakeEndpoint { server, arrivals, copies, freed, room }
+        FakeEndpoint { server, arrivals, copies, freed, capacity }
     }
 
     /// Where it listens.
@@ -314,19 +318,19 @@
     }
 
     /// What it says from now on: tokens in memory, and whether it keeps places.
-    pub(super) fn tell_room(&self, used: u64, keeps: bool) {
-        self.room.used.set(used);
-        self.room.keeps.set(keeps);
+    pub(super) fn set_capacity(&self, used: u64, keeps: bool) {
+        self.capacity.used.set(used);
+        self.capacity.keeps.set(keeps);
     }
 
     /// Seconds of back-off that it asks for from now on when it is asked for its load.
-    pub(super) fn tell_backoff(&self, retry_after: &str) {
-        *self.room.retry_after.borrow_mut() = Some(retry_after.to_owned());
+    pub(super) fn set_load_retry_after(&self, retry_after: &str) {
+        *self.capacity.retry_after.borrow_mut() = Some(retry_after.to_owned());
     }
 
     /// Tokens of the places that it was asked for.
-    pub(super) fn places_asked(&self) -> Vec<u64> {
-        self.room.asked.borrow().clone()
+    pub(super) fn reserved_tokens(&self) -> Vec<u64> {
+        self.capacity.asked.borrow().clone()
     }
 
     /// Ends: takes no connections any more. What runs here is broken off by whoever holds it.
@@ -343,7 +347,7 @@
     }
 
     /// The next order to copy.
-    pub(super) async fn copy(&mut self) -> CopyAsked {
+    pub(super) async fn copy(&mut self) -> PendingCopy {
         self.copies.recv().await.expect("the endpoint lives as long as the test")
     }
 
@@ -364,7 +368,7 @@
 }
 
 /// The next attempt at either endpoint.
-pub(super) async fn either(e1: &mut FakeEndpoint, e2: &mut FakeEndpoint) -> Arrival {
+pub(super) async fn next_arrival_at(e1: &mut FakeEndpoint, e2: &mut FakeEndpoint) -> Arrival {
     tokio::select! {
         arrival = e1.arrival() => arrival,
         arrival = e2.arrival() => arrival,
--- a/crates/server/src/relay/tests/latency.rs
+++ b/crates/server/src/relay/tests/latency.rs
@@ -5,30 +5,30 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-use crate::{relay::latency::Latency, testing::fixed_seed};
+use crate::{relay::latency::LatencyEstimate, testing::fixed_seed};
 
 #[gtest]
 fn nothing_is_unusual_before_enough_calls_are_known() {
-    let mut latency = Latency::default();
+    let mut latency = LatencyEstimate::default();
     for _ in 0..15 {
-        latency.note(Duration::from_millis(30));
+        latency.record(Duration::from_millis(30));
     }
 
-    let before = latency.unusual_after();
-    latency.note(Duration::from_millis(30));
+    let before = latency.hedge_delay();
+    latency.record(Duration::from_millis(30));
 
     expect_that!(before, none());
-    expect_that!(latency.unusual_after(), some(anything()));
+    expect_that!(latency.hedge_delay(), some(anything()));
 }
 
 #[gtest]
 fn what_is_unusual_follows_a_service_that_becomes_slower() {
-    let mut latency = Latency::default();
+    let mut latency = LatencyEstimate::default();
     let mut feed = |ms| {
         for _ in 0..100 {
-            latency.note(Duration::from_millis(ms));
+            latency.record(Duration::from_millis(ms));
         }
-        latency.unusual_after().unwrap()
+        latency.hedge_delay().unwrap()
     };
 
     let fast = feed(30);
@@ -44,14 +44,14 @@
     /// Of calls that take a time and half of it more at most, no more than a sixth is unusual.
     #[test]
     fn few_calls_are_unusual(times in proptest::collection::vec(20u64..30, 100..300)) {
-        let mut latency = Latency::default();
+        let mut latency = LatencyEstimate::default();
         let mut unusual = 0;
         for ms in &times {
             let took = Duration::from_millis(*ms);
-            if latency.unusual_after().is_some_and(|after| after < took) {
+            if latency.hedge_delay().is_some_and(|after| after < took) {
                 unusual += 1;
             }
-            latency.note(took);
+            latency.record(took);
         }
 
         prop_assert!(unusual * 6 <= times.len(), "{unusual} of {}", times.len());
--- a/crates/server/src/relay/tests/leaving.rs
+++ b/crates/server/src/relay/tests/leaving.rs
@@ -5,33 +5,33 @@
 use tokio::{join, select};
 
 use super::{
-    endpoint::{Arrival, FakeEndpoint, Stream, either, events_to},
-    entry::{Entry, on_local_tasks},
-    reading::{Reading, text},
+    fake_endpoint::{Arrival, FakeEndpoint, Stream, events_to, next_arrival_at},
+    response::{ResponseReader, text},
+    test_daemon::{TestDaemon, run_test},
 };
 
 /// Asks, and leaves when the request has come to an endpoint.
-async fn leave_at(entry: &Entry, path: &str, endpoint: &mut FakeEndpoint) -> Arrival {
+async fn leave_at(daemon: &TestDaemon, path: &str, endpoint: &mut FakeEndpoint) -> Arrival {
     select! {
-        _ = entry.ask(path, "left") => panic!("nobody has answered"),
+        _ = daemon.send(path, "left") => panic!("nobody has answered"),
         arrival = endpoint.arrival() => arrival,
     }
 }
 
 /// Asks, and leaves once this is so.
-async fn leave_once(entry: &Entry, path: &str, is_so: impl Future<Output = ()>) {
+async fn leave_once(daemon: &TestDaemon, path: &str, is_so: impl Future<Output = ()>) {
     select! {
-        _ = entry.ask(path, "left") => panic!("nobody has answered"),
+        _ = daemon.send(path, "left") => panic!("nobody has answered"),
         () = is_so => {}
     }
 }
 
 /// Whether the next request is the only one that comes to an engine.
-async fn only_the_next_comes(entry: &Entry, path: &str, engine: &mut FakeEndpoint) {
-    let (answer, arrived) = join!(entry.ask(path, "next"), async {
+async fn only_the_next_comes(daemon: &TestDaemon, path: &str, engine: &mut FakeEndpoint) {
+    let (answer, arrived) = join!(daemon.send(path, "next"), async {
         let arrival = engine.arrival().await;
         let id = arrival.id.clone();
-        arrival.stream_whole([1]).await;
+        arrival.stream_all([1]).await;
         id
     });
 
@@ -41,204 +41,209 @@
 }
 
 /// A generation whose caller has its events up to `last`.
-async fn running(entry: &Entry, path: &str, last: u64, e: &mut FakeEndpoint) -> (Reading, Stream) {
-    let (answer, stream) = join!(entry.ask(path, "left"), async {
+async fn running(
+    daemon: &TestDaemon,
+    path: &str,
+    last: u64,
+    e: &mut FakeEndpoint,
+) -> (ResponseReader, Stream) {
+    let (answer, stream) = join!(daemon.send(path, "left"), async {
         let stream = e.arrival().await.stream();
         stream.events(1..=last).await;
         stream
     });
-    let mut reading = Reading::new(answer);
-    reading.read_to(last).await;
-    (reading, stream)
+    let mut reader = ResponseReader::new(answer);
+    reader.read_to(last).await;
+    (reader, stream)
 }
 
 #[gtest]
 fn while_the_daemon_has_no_configuration_yet() {
-    on_local_tasks(async {
-        let entry = Entry::start(std::time::Duration::from_secs(60));
+    run_test(async {
+        let daemon = TestDaemon::start(std::time::Duration::from_secs(60));
 
-        leave_once(&entry, "/chat/", entry.connected()).await;
-        entry.at_rest().await;
-        entry.configure().await;
-        let mut engine = entry.register("engines", "e1").await;
+        leave_once(&daemon, "/chat/", daemon.wait_for_connection()).await;
+        daemon.wait_until_idle().await;
+        daemon.configure().await;
+        let mut engine = daemon.register("engines", "e1").await;
 
-        only_the_next_comes(&entry, "/chat/", &mut engine).await;
+        only_the_next_comes(&daemon, "/chat/", &mut engine).await;
     });
 }
 
 #[gtest]
 fn while_no_endpoint_is_known() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
 
-        leave_once(&entry, "/chat/", entry.connected()).await;
-        entry.at_rest().await;
-        let mut engine = entry.register("engines", "e1").await;
+        leave_once(&daemon, "/chat/", daemon.wait_for_connection()).await;
+        daemon.wait_until_idle().await;
+        let mut engine = daemon.register("engines", "e1").await;
 
-        only_the_next_comes(&entry, "/chat/", &mut engine).await;
-        expect_that!(entry.running().await, eq(0));
+        only_the_next_comes(&daemon, "/chat/", &mut engine).await;
+        expect_that!(daemon.running().await, eq(0));
     });
 }
 
 #[gtest]
 fn while_it_waits_for_a_place() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
         // The only place is taken.
-        let mut engine = entry.register_with_slots("engines", "e1", 1).await;
-        let (reading, stream) = running(&entry, "/chat/", 1, &mut engine).await;
+        let mut engine = daemon.register_with_slots("engines", "e1", 1).await;
+        let (reader, stream) = running(&daemon, "/chat/", 1, &mut engine).await;
 
-        leave_once(&entry, "/chat/", entry.has_in_progress(2)).await;
-        entry.has_in_progress(1).await;
-        let rest = join!(reading.rest(), async { stream.end() }).0;
-        entry.at_rest().await;
+        leave_once(&daemon, "/chat/", daemon.wait_for_in_progress(2)).await;
+        daemon.wait_for_in_progress(1).await;
+        let rest = join!(reader.read_rest(), async { stream.end() }).0;
+        daemon.wait_until_idle().await;
 
         expect_that!(rest, ok(anything()));
-        only_the_next_comes(&entry, "/chat/", &mut engine).await;
+        only_the_next_comes(&daemon, "/chat/", &mut engine).await;
     });
 }
 
 #[gtest]
 fn while_a_call_runs() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut desk = entry.register("desk", "d1").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut desk = daemon.register("desk", "d1").await;
 
-        let mut arrival = leave_at(&entry, "/once/", &mut desk).await;
+        let mut arrival = leave_at(&daemon, "/once/", &mut desk).await;
 
-        arrival.left().await;
-        entry.at_rest().await;
+        arrival.wait_until_cancelled().await;
+        daemon.wait_until_idle().await;
     });
 }
 
 #[gtest]
 fn while_the_second_attempt_of_a_call_runs() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
         let (mut d1, mut d2) =
-            (entry.register("desk", "d1").await, entry.register("desk", "d2").await);
+            (daemon.register("desk", "d1").await, daemon.register("desk", "d2").await);
 
         let mut second = select! {
-            _ = entry.ask("/again/", "left") => panic!("nobody has answered"),
+            _ = daemon.send("/again/", "left") => panic!("nobody has answered"),
             second = async {
-                either(&mut d1, &mut d2).await.answer(500, "failed");
-                either(&mut d1, &mut d2).await
+                next_arrival_at(&mut d1, &mut d2).await.answer(500, "failed");
+                next_arrival_at(&mut d1, &mut d2).await
             } => second,
         };
 
-        second.left().await;
-        entry.at_rest().await;
+        second.wait_until_cancelled().await;
+        daemon.wait_until_idle().await;
     });
 }
 
 #[gtest]
 fn before_the_first_event() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut engine = entry.register("engines", "e1").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut engine = daemon.register("engines", "e1").await;
 
-        let mut arrival = leave_at(&entry, "/chat/", &mut engine).await;
+        let mut arrival = leave_at(&daemon, "/chat/", &mut engine).await;
 
-        arrival.left().await;
-        entry.at_rest().await;
-        expect_that!(entry.running().await, eq(0));
+        arrival.wait_until_cancelled().await;
+        daemon.wait_until_idle().await;
+        expect_that!(daemon.running().await, eq(0));
     });
 }
 
 #[gtest]
 fn between_events() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut engine = entry.register("engines", "e1").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut engine = daemon.register("engines", "e1").await;
 
-        let (reading, stream) = running(&entry, "/chat/", 3, &mut engine).await;
-        drop(reading);
+        let (reader, stream) = running(&daemon, "/chat/", 3, &mut engine).await;
+        drop(reader);
 
-        stream.left().await;
-        entry.at_rest().await;
-        expect_that!(entry.running().await, eq(0));
+        stream.wait_until_cancelled().await;
+        daemon.wait_until_idle().await;
+        expect_that!(daemon.running().await, eq(0));
     });
 }
 
 #[gtest]
 fn while_it_goes_on_at_another_endpoint() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut e1 = entry.register("engines", "e1").await;
-        let (reading, stream) = running(&entry, "/recap/", 3, &mut e1).await;
-        let mut e2 = entry.register("engines", "e2").await;
-
-        let (mut again, ()) = join!(e2.arrival(), stream.cut());
-        drop(reading);
-
-        again.left().await;
-        entry.at_rest().await;
-        expect_that!(entry.running().await, eq(0));
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut e1 = daemon.register("engines", "e1").await;
+        let (reader, stream) = running(&daemon, "/recap/", 3, &mut e1).await;
+        let mut e2 = daemon.register("engines", "e2").await;
+
+        let (mut again, ()) = join!(e2.arrival(), stream.abort());
+        drop(reader);
+
+        again.wait_until_cancelled().await;
+        daemon.wait_until_idle().await;
+        expect_that!(daemon.running().await, eq(0));
     });
 }
 
 /// A generation whose engine leaves; the order for its first copy has come.
-async fn moving(entry: &Entry) -> (Reading, Stream, FakeEndpoint, FakeEndpoint) {
-    let mut from = entry.register("engines", "from").await;
-    let (reading, stream) = running(entry, "/chat/", 3, &mut from).await;
-    let to = entry.register("engines", "to").await;
-    entry.leaves("from").await;
-    (reading, stream, from, to)
+async fn moving(daemon: &TestDaemon) -> (ResponseReader, Stream, FakeEndpoint, FakeEndpoint) {
+    let mut from = daemon.register("engines", "from").await;
+    let (reader, stream) = running(daemon, "/chat/", 3, &mut from).await;
+    let to = daemon.register("engines", "to").await;
+    daemon.announce_leaving("from").await;
+    (reader, stream, from, to)
 }
 
 #[gtest]
 fn while_the_first_copy_is_made() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let (reading, stream, mut from, mut to) = moving(&entry).await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let (reader, stream, mut from, mut to) = moving(&daemon).await;
         let first = from.copy().await;
 
-        drop(reading);
-        stream.left().await;
+        drop(reader);
+        stream.wait_until_cancelled().await;
         first.answer(200, "h1");
 
         // The copy holds memory at both engines until it is freed.
         expect_that!(from.freed().await, eq("h1"));
-        entry.at_rest().await;
+        daemon.wait_until_idle().await;
         expect_true!(to.is_idle());
-        expect_that!(entry.running().await, eq(0));
+        expect_that!(daemon.running().await, eq(0));
     });
 }
 
 #[gtest]
 fn while_the_last_copy_is_made() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let (reading, stream, mut from, mut to) = moving(&entry).await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let (reader, stream, mut from, mut to) = moving(&daemon).await;
         from.copy().await.answer(200, "h1");
         let last = from.copy().await;
         stream.end();
 
-        drop(reading);
+        drop(reader);
         last.answer(200, "h2");
 
         expect_that!(from.freed().await, eq("h2"));
-        entry.at_rest().await;
+        daemon.wait_until_idle().await;
         expect_true!(to.is_idle());
-        expect_that!(entry.running().await, eq(0));
+        expect_that!(daemon.running().await, eq(0));
     });
 }
 
 #[gtest]
 fn while_it_goes_on_where_its_copy_lies() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let (reading, stream, mut from, mut to) = moving(&entry).await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let (reader, stream, mut from, mut to) = moving(&daemon).await;
         from.copy().await.answer(200, "h1");
         let last = from.copy().await;
         stream.end();
         last.answer(200, "h2");
         let mut arrival = to.arrival().await;
 
-        drop(reading);
+        drop(reader);
 
-        arrival.left().await;
-        entry.at_rest().await;
-        expect_that!(entry.running().await, eq(0));
+        arrival.wait_until_cancelled().await;
+        daemon.wait_until_idle().await;
+        expect_that!(daemon.running().await, eq(0));
     });
 }
--- a/crates/server/src/relay/tests/mod.rs
+++ b/crates/server/src/relay/tests/mod.rs
@@ -1,21 +1,21 @@
 //! Tests of the relay: a whole entry with endpoints that do what a test tells them.
 
 mod backoff;
-mod budget;
 mod calls;
-mod cold;
-mod crashing;
-mod ended;
-mod endpoint;
-mod entry;
+mod cold_start;
+mod data_halls;
+mod failed_attempt;
+mod fake_endpoint;
 mod generations;
-mod halls;
 mod latency;
 mod leaving;
-mod limits;
-mod moves;
+mod local_placement;
 mod protocol;
-mod reading;
-mod starting;
-mod suspended;
-mod unscheduled;
+mod quarantine;
+mod rate_limit;
+mod relocation;
+mod response;
+mod retry_budget;
+mod startup;
+mod suspension;
+mod test_daemon;
--- a/crates/server/src/relay/tests/crashing.rs
+++ b/crates/server/src/relay/tests/quarantine.rs
@@ -21,9 +21,9 @@
 use tokio::join;
 
 use super::{
-    endpoint::{Arrival, FakeEndpoint, events_to},
-    entry::{Entry, on_local_tasks},
-    reading::{outcome, text},
+    fake_endpoint::{Arrival, FakeEndpoint, events_to},
+    response::{outcome, text},
+    test_daemon::{TestDaemon, run_test},
 };
 
 /// Marks the path of a request that ends whatever runs it.
@@ -32,28 +32,29 @@
 const ENDPOINTS: usize = 4;
 
 /// Endpoints of one service that end under a marked request and are back under another name.
-struct Site<'a> {
-    entry: &'a Entry,
+struct CrashingService<'a> {
+    daemon: &'a TestDaemon,
     service: &'static str,
     endpoints: Vec<FakeEndpoint>,
     started: usize,
     /// How many have ended.
-    ended: usize,
+    crashed: usize,
 }
 
-impl<'a> Site<'a> {
-    async fn open(entry: &'a Entry, service: &'static str) -> Site<'a> {
-        let mut site = Site { entry, service, endpoints: Vec::new(), started: 0, ended: 0 };
+impl<'a> CrashingService<'a> {
+    async fn open(daemon: &'a TestDaemon, service: &'static str) -> CrashingService<'a> {
+        let mut service_under_test =
+            CrashingService { daemon, service, endpoints: Vec::new(), started: 0, crashed: 0 };
         for _ in 0..ENDPOINTS {
-            site.start_one().await;
+            service_under_test.start_one().await;
         }
-        site
+        service_under_test
     }
 
     async fn start_one(&mut self) {
         self.started += 1;
         let name = format!("e{}", self.started);
-        self.endpoints.push(self.entry.register(self.service, &name).await);
+        self.endpoints.push(self.daemon.register(self.service, &name).await);
     }
 
     /// Serves whatever comes, one attempt after the other.
@@ -79,9 +80,9 @@
     async fn end(&mut self, at: usize, arrival: Arrival) {
         let endpoint = self.endpoints.remove(at);
         endpoint.end().await;
-        self.ended += 1;
+        self.crashed += 1;
         self.start_one().await;
-        arrival.stream().cut().await;
+        arrival.stream().abort().await;
     }
 }
 
@@ -97,38 +98,45 @@
 }
 
 /// Sends a request while the site serves, and returns its status, its outcome and what came of it.
-async fn ask(site: &mut Site<'_>, path: &str) -> (StatusCode, Option<String>, String) {
-    let entry = site.entry;
+async fn send(
+    service_under_test: &mut CrashingService<'_>,
+    path: &str,
+) -> (StatusCode, Option<String>, String) {
+    let daemon = service_under_test.daemon;
     let asked = async {
-        let answer = entry.ask(path, "r").await;
+        let answer = daemon.send(path, "r").await;
         let (status, outcome) = (answer.head.status, outcome(&answer));
         (status, outcome, text(answer).await.unwrap_or_default())
     };
     tokio::select! {
         answer = asked => answer,
-        () = site.serve() => unreachable!("the site serves without end"),
+        () = service_under_test.serve() => unreachable!("the site serves without end"),
     }
 }
 
 /// Tries a request so many times, one after the other; returns the status of the last try.
-async fn insist(site: &mut Site<'_>, path: &str, tries: usize) -> StatusCode {
+async fn insist(
+    service_under_test: &mut CrashingService<'_>,
+    path: &str,
+    tries: usize,
+) -> StatusCode {
     let mut last = StatusCode::OK;
     for _ in 0..tries {
-        (last, _, _) = ask(site, path).await;
+        (last, _, _) = send(service_under_test, path).await;
     }
     last
 }
 
 #[gtest]
 fn a_generation_under_which_three_engines_have_ended_is_sent_to_none_any_more() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut site = Site::open(&entry, "engines").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut service_under_test = CrashingService::open(&daemon, "engines").await;
 
-        let last = insist(&mut site, "/recap/deadly", 8).await;
-        let (_, _, innocent) = ask(&mut site, "/recap/of-another").await;
+        let last = insist(&mut service_under_test, "/recap/deadly", 8).await;
+        let (_, _, innocent) = send(&mut service_under_test, "/recap/of-another").await;
 
-        expect_that!(site.ended, eq(3));
+        expect_that!(service_under_test.crashed, eq(3));
         expect_that!(last, eq(StatusCode::SERVICE_UNAVAILABLE));
         expect_that!(innocent, eq(&events_to(3)));
     });
@@ -136,14 +144,14 @@
 
 #[gtest]
 fn a_call_under_which_three_endpoints_have_ended_is_sent_to_none_any_more() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut site = Site::open(&entry, "desk").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut service_under_test = CrashingService::open(&daemon, "desk").await;
 
-        let last = insist(&mut site, "/again/deadly", 8).await;
-        let (_, _, innocent) = ask(&mut site, "/again/of-another").await;
+        let last = insist(&mut service_under_test, "/again/deadly", 8).await;
+        let (_, _, innocent) = send(&mut service_under_test, "/again/of-another").await;
 
-        expect_that!(site.ended, eq(3));
+        expect_that!(service_under_test.crashed, eq(3));
         expect_that!(last, eq(StatusCode::SERVICE_UNAVAILABLE));
         expect_that!(innocent, eq("done"));
     });
@@ -151,58 +159,58 @@
 
 #[gtest]
 fn tries_of_one_request_at_the_same_time_end_no_more_endpoints_than_they_are() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut site = Site::open(&entry, "engines").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut service_under_test = CrashingService::open(&daemon, "engines").await;
 
-        let ask = || entry.ask("/chat/deadly", "r");
-        let tries = async { join!(ask(), ask(), ask()) };
+        let send = || daemon.send("/chat/deadly", "r");
+        let tries = async { join!(send(), send(), send()) };
         tokio::select! {
             _ = tries => {}
-            () = site.serve() => unreachable!("the site serves without end"),
+            () = service_under_test.serve() => unreachable!("the site serves without end"),
         }
-        let at_once = site.ended;
-        insist(&mut site, "/chat/deadly", 8).await;
+        let at_once = service_under_test.crashed;
+        insist(&mut service_under_test, "/chat/deadly", 8).await;
 
         expect_that!(at_once, le(3));
         // Two more, one after the other: what ends under tries at the same time proves little.
-        expect_that!(site.ended, le(5));
+        expect_that!(service_under_test.crashed, le(5));
     });
 }
 
 /// All endpoints end at once while so many tries of a request run there.
-async fn ends_beside(site: &mut Site<'_>, path: &str, tries: usize) {
-    let entry = site.entry;
-    let asks = (0..tries).map(|_| Box::pin(entry.ask(path, "r")));
+async fn ends_beside(service_under_test: &mut CrashingService<'_>, path: &str, tries: usize) {
+    let daemon = service_under_test.daemon;
+    let asks = (0..tries).map(|_| Box::pin(daemon.send(path, "r")));
     let asks = futures_util::future::join_all(asks);
     let rack = async {
         let mut arrivals = Vec::new();
         for _ in 0..tries {
-            arrivals.push(site.arrival().await);
+            arrivals.push(service_under_test.arrival().await);
         }
-        for endpoint in site.endpoints.drain(..) {
+        for endpoint in service_under_test.endpoints.drain(..) {
             endpoint.end().await;
         }
         for (_, arrival) in arrivals {
-            arrival.stream().cut().await;
+            arrival.stream().abort().await;
         }
     };
     join!(asks, rack);
     for _ in 0..ENDPOINTS {
-        site.start_one().await;
+        service_under_test.start_one().await;
     }
 }
 
 #[gtest]
 fn what_ran_at_a_rack_that_ended_is_served_when_it_comes_again() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut site = Site::open(&entry, "engines").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut service_under_test = CrashingService::open(&daemon, "engines").await;
         // Six tries of a popular request ran there.
-        ends_beside(&mut site, "/chat/popular", 6).await;
+        ends_beside(&mut service_under_test, "/chat/popular", 6).await;
 
-        let (_, _, first) = ask(&mut site, "/chat/popular").await;
-        let (_, _, second) = ask(&mut site, "/chat/popular").await;
+        let (_, _, first) = send(&mut service_under_test, "/chat/popular").await;
+        let (_, _, second) = send(&mut service_under_test, "/chat/popular").await;
 
         expect_that!(first, eq(&events_to(3)));
         expect_that!(second, eq(&events_to(3)));
@@ -211,27 +219,28 @@
 
 #[gtest]
 fn what_ran_beside_a_deadly_request_is_served_when_it_comes_again() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut site = Site::open(&entry, "engines").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut service_under_test = CrashingService::open(&daemon, "engines").await;
         let both =
-            async { join!(entry.ask("/chat/innocent", "r1"), entry.ask("/chat/deadly", "r2")) };
+            async { join!(daemon.send("/chat/innocent", "r1"), daemon.send("/chat/deadly", "r2")) };
         let all_end = async {
-            let (one, other) = (site.arrival().await, site.arrival().await);
-            for endpoint in site.endpoints.drain(..) {
+            let (one, other) =
+                (service_under_test.arrival().await, service_under_test.arrival().await);
+            for endpoint in service_under_test.endpoints.drain(..) {
                 endpoint.end().await;
             }
             for (_, arrival) in [one, other] {
-                arrival.stream().cut().await;
+                arrival.stream().abort().await;
             }
         };
         join!(both, all_end);
         for _ in 0..ENDPOINTS {
-            site.start_one().await;
+            service_under_test.start_one().await;
         }
 
-        insist(&mut site, "/chat/deadly", 4).await;
-        let (_, _, innocent) = ask(&mut site, "/chat/innocent").await;
+        insist(&mut service_under_test, "/chat/deadly", 4).await;
+        let (_, _, innocent) = send(&mut service_under_test, "/chat/innocent").await;
 
         expect_that!(innocent, eq(&events_to(3)));
     });
@@ -239,18 +248,18 @@
 
 #[gtest]
 fn a_summary_that_goes_on_after_an_end_runs_as_a_trial_and_clears_itself() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut site = Site::open(&entry, "engines").await;
-        let answer = async { text(entry.ask("/recap/good", "r").await).await };
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut service_under_test = CrashingService::open(&daemon, "engines").await;
+        let answer = async { text(daemon.send("/recap/good", "r").await).await };
         let serve = async {
-            let (at, arrival) = site.arrival().await;
-            let endpoint = site.endpoints.remove(at);
+            let (at, arrival) = service_under_test.arrival().await;
+            let endpoint = service_under_test.endpoints.remove(at);
             let stream = arrival.stream();
             stream.events(1..=2).await;
             endpoint.end().await;
-            stream.cut().await;
-            let (_, arrival) = site.arrival().await;
+            stream.abort().await;
+            let (_, arrival) = service_under_test.arrival().await;
             let after = arrival.after;
             let stream = arrival.stream();
             stream.events(3..=3).await;
@@ -262,27 +271,27 @@
 
         expect_that!(answer, ok(eq(&events_to(3))));
         expect_that!(after, some(eq(2)));
-        entry.has_counted("trayswitch_trials_total{answer=\"granted\"}", 1).await;
-        entry.has_counted("trayswitch_suspects", 0).await;
+        daemon.wait_for_metric("trayswitch_trials_total{answer=\"granted\"}", 1).await;
+        daemon.wait_for_metric("trayswitch_suspects", 0).await;
     });
 }
 
 #[gtest]
 fn a_caller_that_leaves_gives_its_turn_to_the_next() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut site = Site::open(&entry, "desk").await;
-        insist(&mut site, "/once/deadly", 1).await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut service_under_test = CrashingService::open(&daemon, "desk").await;
+        insist(&mut service_under_test, "/once/deadly", 1).await;
 
         let held = {
-            let first = entry.ask("/once/deadly", "r1");
+            let first = daemon.send("/once/deadly", "r1");
             tokio::select! {
                 _ = first => panic!("nobody has answered"),
-                (_, arrival) = site.arrival() => arrival,
+                (_, arrival) = service_under_test.arrival() => arrival,
             }
         };
-        let (answer, ()) = join!(entry.ask("/once/deadly", "r2"), async {
-            site.arrival().await.1.answer(200, "done");
+        let (answer, ()) = join!(daemon.send("/once/deadly", "r2"), async {
+            service_under_test.arrival().await.1.answer(200, "done");
         });
 
         expect_that!(text(answer).await, ok(eq("done")));
@@ -292,19 +301,19 @@
 
 #[gtest]
 fn an_endpoint_that_starts_anew_after_a_request_was_given_up_has_ended_under_it() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
         for (service, path) in [("engines", "/chat/deadly"), ("desk", "/once/deadly")] {
-            let mut endpoint = entry.register(service, service).await;
+            let mut endpoint = daemon.register(service, service).await;
             let held = tokio::select! {
-                _ = entry.ask(path, "r1") => panic!("nobody has answered"),
+                _ = daemon.send(path, "r1") => panic!("nobody has answered"),
                 arrival = endpoint.arrival() => arrival,
             };
 
-            let _again = entry.starts_again(service, service).await;
+            let _again = daemon.restart_endpoint(service, service).await;
 
             drop(held);
         }
-        entry.has_counted("trayswitch_suspects", 2).await;
+        daemon.wait_for_metric("trayswitch_suspects", 2).await;
     });
 }
