--- a/crates/server/src/relay/tests/limits.rs
+++ b/crates/server/src/relay/tests/rate_limit.rs
@@ -20,9 +20,9 @@
 use tokio::join;
 
 use super::{
-    endpoint::{FakeEndpoint, either},
-    entry::{Entry, on_local_tasks},
-    reading::{outcome, text},
+    fake_endpoint::{FakeEndpoint, next_arrival_at},
+    response::{outcome, text},
+    test_daemon::{TestDaemon, run_test},
 };
 
 /// What an endpoint in need takes in a second: so little that a test is over before the next one is due.
@@ -40,85 +40,85 @@
 
 /// Sends requests one after the other while the first endpoint is in need; returns how many it has got.
 async fn send_all(
-    entry: &Entry,
+    daemon: &TestDaemon,
     path: &str,
-    needy: &mut FakeEndpoint,
+    limited: &mut FakeEndpoint,
     other: &mut FakeEndpoint,
 ) -> u32 {
-    let mut at_needy = 0;
+    let mut sent_to_limited = 0;
     for _ in 0..REQUESTS {
-        let (answer, meant_for) = join!(entry.ask(path, "r1"), async {
-            let arrival = either(needy, other).await;
+        let (answer, meant_for) = join!(daemon.send(path, "r1"), async {
+            let arrival = next_arrival_at(limited, other).await;
             let meant_for = arrival.meant_for.clone();
             let limit = (meant_for == "needy").then(|| LIMIT.to_string());
-            arrival.naming(limit.as_deref()).answer(200, "id: 1\ndata: token 1\n\n");
+            arrival.with_rate_limit(limit.as_deref()).answer(200, "id: 1\ndata: token 1\n\n");
             meant_for
         });
         assert_that!(text(answer).await, ok(contains_substring("token 1")));
-        at_needy += u32::from(meant_for == "needy");
+        sent_to_limited += u32::from(meant_for == "needy");
     }
-    at_needy
+    sent_to_limited
 }
 
 /// Makes one call that an endpoint answers, naming this.
-async fn call(entry: &Entry, path: &str, endpoint: &mut FakeEndpoint, limit: Option<&str>) {
-    let (answer, ()) = join!(entry.ask(path, "r1"), async {
-        endpoint.arrival().await.naming(limit).answer(200, "done");
+async fn call(daemon: &TestDaemon, path: &str, endpoint: &mut FakeEndpoint, limit: Option<&str>) {
+    let (answer, ()) = join!(daemon.send(path, "r1"), async {
+        endpoint.arrival().await.with_rate_limit(limit).answer(200, "done");
     });
     expect_that!(text(answer).await, ok(eq("done")));
 }
 
 #[gtest]
 fn calls_keep_to_the_limit_that_an_endpoint_names() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut needy = entry.register("desk", "needy").await;
-        let mut other = entry.register("desk", "other").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut limited = daemon.register("desk", "needy").await;
+        let mut other = daemon.register("desk", "other").await;
 
         let began = Instant::now();
-        let at_needy = send_all(&entry, "/once/x", &mut needy, &mut other).await;
+        let sent_to_limited = send_all(&daemon, "/once/x", &mut limited, &mut other).await;
 
-        expect_that!(at_needy, le(allowed(began)));
+        expect_that!(sent_to_limited, le(allowed(began)));
     });
 }
 
 #[gtest]
 fn generations_keep_to_the_limit_that_an_engine_names() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut needy = entry.register("engines", "needy").await;
-        let mut other = entry.register("engines", "other").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut limited = daemon.register("engines", "needy").await;
+        let mut other = daemon.register("engines", "other").await;
 
         let began = Instant::now();
-        let at_needy = send_all(&entry, "/chat/x", &mut needy, &mut other).await;
+        let sent_to_limited = send_all(&daemon, "/chat/x", &mut limited, &mut other).await;
 
-        expect_that!(at_needy, le(allowed(began)));
+        expect_that!(sent_to_limited, le(allowed(began)));
     });
 }
 
 #[gtest]
 fn calls_wait_for_their_turn_where_every_endpoint_names_a_limit() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut endpoint = entry.register("desk", "e1").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut endpoint = daemon.register("desk", "e1").await;
 
         for _ in 0..5 {
-            call(&entry, "/once/x", &mut endpoint, Some(SOON)).await;
+            call(&daemon, "/once/x", &mut endpoint, Some(SOON)).await;
         }
 
         let granted = "trayswitch_leaves_total{end=\"granted\",service=\"desk\"}";
-        entry.has_counted(granted, 4).await;
+        daemon.wait_for_metric(granted, 4).await;
     });
 }
 
 #[gtest]
 fn a_call_that_no_endpoint_takes_in_time_is_refused_at_once() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut endpoint = entry.register("desk", "e1").await;
-        call(&entry, "/soon/x", &mut endpoint, Some("0")).await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut endpoint = daemon.register("desk", "e1").await;
+        call(&daemon, "/soon/x", &mut endpoint, Some("0")).await;
 
-        let refused = entry.ask("/soon/x", "r2").await;
+        let refused = daemon.send("/soon/x", "r2").await;
 
         expect_that!(outcome(&refused), some(eq("overloaded")));
         expect_that!(refused.head.status.as_u16(), eq(503));
@@ -128,68 +128,72 @@
 
 #[gtest]
 fn an_endpoint_that_names_no_limit_any_more_gets_all_calls_again() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut endpoint = entry.register("desk", "e1").await;
-        call(&entry, "/once/x", &mut endpoint, Some(SOON)).await;
-        entry.has_counted("trayswitch_limited_endpoints", 1).await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut endpoint = daemon.register("desk", "e1").await;
+        call(&daemon, "/once/x", &mut endpoint, Some(SOON)).await;
+        daemon.wait_for_metric("trayswitch_limited_endpoints", 1).await;
 
-        call(&entry, "/once/x", &mut endpoint, None).await;
-        call(&entry, "/soon/x", &mut endpoint, None).await;
+        call(&daemon, "/once/x", &mut endpoint, None).await;
+        call(&daemon, "/soon/x", &mut endpoint, None).await;
 
-        entry.has_counted("trayswitch_limited_endpoints", 0).await;
+        daemon.wait_for_metric("trayswitch_limited_endpoints", 0).await;
     });
 }
 
 #[gtest]
 fn what_is_no_limit_is_counted_and_holds_nothing_back() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut endpoint = entry.register("desk", "e1").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut endpoint = daemon.register("desk", "e1").await;
 
         for limit in ["", "2,9", "-1", "NaN", "1e999"] {
-            call(&entry, "/soon/x", &mut endpoint, Some(limit)).await;
+            call(&daemon, "/soon/x", &mut endpoint, Some(limit)).await;
         }
 
         let unreadable = "trayswitch_limits_read_total{limit=\"unreadable\",service=\"desk\"}";
-        entry.has_counted(unreadable, 5).await;
+        daemon.wait_for_metric(unreadable, 5).await;
     });
 }
 
 #[gtest]
 fn a_refusal_names_a_limit_like_any_answer() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut endpoint = entry.register("desk", "e1").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut endpoint = daemon.register("desk", "e1").await;
 
-        let (refused, ()) = join!(entry.ask("/soon/x", "r1"), async {
-            endpoint.arrival().await.naming(Some("0")).turn_away("full");
+        let (refused, ()) = join!(daemon.send("/soon/x", "r1"), async {
+            endpoint.arrival().await.with_rate_limit(Some("0")).reject_unexecuted("full");
         });
 
         expect_that!(outcome(&refused), some(eq("endpoint_refused")));
-        entry.has_counted("trayswitch_limited_endpoints", 1).await;
+        daemon.wait_for_metric("trayswitch_limited_endpoints", 1).await;
     });
 }
 
 #[gtest]
 fn an_answer_to_the_daemons_own_question_lifts_no_limit() {
-    on_local_tasks(async {
+    run_test(async {
         // Without a scheduler an engine is asked for its load before each generation.
-        let entry = Entry::without_scheduler().await;
-        let mut engine = entry.register("engines", "e1").await;
-        let (first, ()) = join!(entry.ask("/chat/x", "r1"), async {
-            engine.arrival().await.naming(Some(SOON)).answer(200, "id: 1\ndata: token 1\n\n");
+        let daemon = TestDaemon::without_scheduler().await;
+        let mut engine = daemon.register("engines", "e1").await;
+        let (first, ()) = join!(daemon.send("/chat/x", "r1"), async {
+            engine
+                .arrival()
+                .await
+                .with_rate_limit(Some(SOON))
+                .answer(200, "id: 1\ndata: token 1\n\n");
         });
         expect_that!(text(first).await, ok(anything()));
 
-        let (second, limited) = join!(entry.ask("/chat/x", "r2"), async {
+        let (second, limited_endpoints) = join!(daemon.send("/chat/x", "r2"), async {
             let arrival = engine.arrival().await;
-            let limited = entry.metric("trayswitch_limited_endpoints");
-            arrival.naming(Some(SOON)).answer(200, "id: 1\ndata: token 1\n\n");
-            limited
+            let limited_endpoints = daemon.metric("trayswitch_limited_endpoints");
+            arrival.with_rate_limit(Some(SOON)).answer(200, "id: 1\ndata: token 1\n\n");
+            limited_endpoints
         });
 
         expect_that!(text(second).await, ok(anything()));
-        expect_that!(limited, some(eq(1)));
+        expect_that!(limited_endpoints, some(eq(1)));
     });
 }
--- a/crates/server/src/relay/tests/moves.rs
+++ b/crates/server/src/relay/tests/relocation.rs
@@ -4,17 +4,17 @@
 use tokio::join;
 
 use super::{
-    endpoint::{CopyAsked, FakeEndpoint, Stream, events_to},
-    entry::{Entry, broken_off, on_local_tasks},
+    fake_endpoint::{FakeEndpoint, PendingCopy, Stream, events_to},
     protocol::memory_text,
-    reading::Reading,
+    response::ResponseReader,
+    test_daemon::{TestDaemon, broken_off, run_test},
 };
 use crate::relay::KvCopy;
 
 /// A generation that runs at `from`, which leaves; `to` is another engine.
 struct Running {
-    entry: Entry,
-    reading: Reading,
+    daemon: TestDaemon,
+    reader: ResponseReader,
     stream: Stream,
     from: FakeEndpoint,
     to: FakeEndpoint,
@@ -23,22 +23,22 @@
 /// Starts a generation with events up to `last` while there is one engine; then comes another,
 /// and the first one leaves.
 async fn running(path: &str, last: u64) -> Running {
-    let entry = Entry::open().await;
-    let mut from = entry.register("engines", "from").await;
-    let (answer, stream) = join!(entry.ask(path, "r1"), async {
+    let daemon = TestDaemon::open().await;
+    let mut from = daemon.register("engines", "from").await;
+    let (answer, stream) = join!(daemon.send(path, "r1"), async {
         let stream = from.arrival().await.stream();
         stream.events(1..=last).await;
         stream
     });
-    let mut reading = Reading::new(answer);
-    reading.read_to(last).await;
-    let to = entry.register("engines", "to").await;
-    entry.leaves("from").await;
-    Running { entry, reading, stream, from, to }
+    let mut reader = ResponseReader::new(answer);
+    reader.read_to(last).await;
+    let to = daemon.register("engines", "to").await;
+    daemon.announce_leaving("from").await;
+    Running { daemon, reader, stream, from, to }
 }
 
 /// Answers the first copy and hands out the order for the last one.
-async fn last_copy(from: &mut FakeEndpoint) -> CopyAsked {
+async fn last_copy(from: &mut FakeEndpoint) -> PendingCopy {
     let first = from.copy().await;
     assert!(!first.last);
     first.answer(200, "h1");
@@ -47,11 +47,11 @@
 
 #[gtest]
 fn a_generation_goes_on_where_its_copy_lies() {
-    on_local_tasks(async {
-        let Running { entry: _entry, reading, stream, mut from, mut to } =
+    run_test(async {
+        let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
 
-        let (whole, (after, memory, asked)) = join!(reading.rest(), async {
+        let (whole, (after, memory, asked)) = join!(reader.read_rest(), async {
             let last = last_copy(&mut from).await;
             let asked = (last.id.clone(), last.last);
             stream.events([4]).await;
@@ -60,7 +60,7 @@
             let arrival = to.arrival().await;
             // Event 4 may still have been on its way when the generation went on.
             let (after, memory) = (arrival.after.unwrap_or_default(), arrival.memory.clone());
-            arrival.stream_whole(after + 1..=7).await;
+            arrival.stream_all(after + 1..=7).await;
             (after, memory, asked)
         });
 
@@ -74,11 +74,11 @@
 
 #[gtest]
 fn one_whose_copy_is_refused_runs_on_where_it_is() {
-    on_local_tasks(async {
-        let Running { entry: _entry, reading, stream, mut from, mut to } =
+    run_test(async {
+        let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
 
-        let (whole, ()) = join!(reading.rest(), async {
+        let (whole, ()) = join!(reader.read_rest(), async {
             from.copy().await.answer(503, "");
             stream.events(4..=6).await;
             stream.end();
@@ -91,16 +91,16 @@
 
 #[gtest]
 fn one_that_the_target_refuses_goes_on_at_its_source() {
-    on_local_tasks(async {
-        let Running { entry: _entry, reading, stream, mut from, mut to } =
+    run_test(async {
+        let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
 
-        let (whole, after) = join!(reading.rest(), async {
+        let (whole, after) = join!(reader.read_rest(), async {
             let last = last_copy(&mut from).await;
             stream.end();
             last.answer(200, "h2");
-            to.arrival().await.turn_away("full");
-            from.arrival().await.stream_whole(4..=6).await
+            to.arrival().await.reject_unexecuted("full");
+            from.arrival().await.stream_all(4..=6).await
         });
 
         expect_that!(after, some(eq(3)));
@@ -110,17 +110,17 @@
 
 #[gtest]
 fn one_that_stopped_without_a_copy_goes_on_at_its_source() {
-    on_local_tasks(async {
-        let Running { entry: _entry, reading, stream, mut from, mut to } =
+    run_test(async {
+        let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
 
-        let (whole, memory) = join!(reading.rest(), async {
+        let (whole, memory) = join!(reader.read_rest(), async {
             let last = last_copy(&mut from).await;
             stream.end();
             last.answer(503, "h2");
             let arrival = from.arrival().await;
             let memory = arrival.memory.clone();
-            arrival.stream_whole(4..=5).await;
+            arrival.stream_all(4..=5).await;
             memory
         });
 
@@ -133,11 +133,11 @@
 
 #[gtest]
 fn one_that_ends_while_it_is_copied_is_whole() {
-    on_local_tasks(async {
-        let Running { entry: _entry, reading, stream, mut from, mut to } =
+    run_test(async {
+        let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
 
-        let (whole, ()) = join!(reading.rest(), async {
+        let (whole, ()) = join!(reader.read_rest(), async {
             let last = last_copy(&mut from).await;
             stream.events(4..=5).await;
             stream.end();
@@ -151,13 +151,13 @@
 
 #[gtest]
 fn one_that_is_lost_while_it_is_copied_does_not_look_complete() {
-    on_local_tasks(async {
-        let Running { entry: _entry, reading, stream, mut from, mut to } =
+    run_test(async {
+        let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
 
-        let (whole, ()) = join!(reading.rest(), async {
+        let (whole, ()) = join!(reader.read_rest(), async {
             let last = last_copy(&mut from).await;
-            stream.cut().await;
+            stream.abort().await;
             last.answer(404, "");
         });
 
@@ -168,33 +168,33 @@
 
 #[gtest]
 fn the_end_of_its_engine_while_it_is_copied_is_looked_into() {
-    on_local_tasks(async {
-        let Running { entry, reading, stream, mut from, to: _to } = running("/chat/", 3).await;
+    run_test(async {
+        let Running { daemon, reader, stream, mut from, to: _to } = running("/chat/", 3).await;
 
-        let (whole, ()) = join!(reading.rest(), async {
+        let (whole, ()) = join!(reader.read_rest(), async {
             let last = last_copy(&mut from).await;
             from.end().await;
-            stream.cut().await;
+            stream.abort().await;
             last.answer(404, "");
         });
 
         expect_that!(whole, err(anything()));
-        entry.has_counted(&broken_off("engines", "ended"), 1).await;
+        daemon.wait_for_metric(&broken_off("engines", "ended"), 1).await;
     });
 }
 
 #[gtest]
 fn the_whole_answer_comes_also_when_the_events_were_cut_in_the_middle() {
-    on_local_tasks(async {
-        let Running { entry: _entry, reading, stream, mut from, mut to } =
+    run_test(async {
+        let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
 
-        let (whole, after) = join!(reading.rest(), async {
+        let (whole, after) = join!(reader.read_rest(), async {
             let last = last_copy(&mut from).await;
             stream.bytes("id: 4\ndata: tok").await;
-            stream.cut().await;
+            stream.abort().await;
             last.answer(200, "h2");
-            to.arrival().await.stream_whole(4..=6).await
+            to.arrival().await.stream_all(4..=6).await
         });
 
         expect_that!(after, some(eq(3)));
--- a/crates/server/src/relay/tests/reading.rs
+++ b/crates/server/src/relay/tests/response.rs
@@ -1,7 +1,7 @@
 //! Answers as their callers read them.
 
 use super::{
-    endpoint::event,
+    fake_endpoint::event,
     protocol::{OUTCOME, header},
 };
 use crate::upstream::{AnswerBody, OpenAnswer};
@@ -11,19 +11,19 @@
 
 /// The whole text of an answer, or what became of it.
 pub(super) async fn text(answer: OpenAnswer) -> Result<String, String> {
-    Reading::new(answer).rest().await
+    ResponseReader::new(answer).read_rest().await
 }
 
 /// A streamed answer as its caller reads it.
-pub(super) struct Reading {
+pub(super) struct ResponseReader {
     body: AnswerBody,
     text: String,
 }
 
-impl Reading {
+impl ResponseReader {
     /// An answer of which only the head was read.
-    pub(super) fn new(answer: OpenAnswer) -> Reading {
-        Reading { body: answer.body, text: String::new() }
+    pub(super) fn new(answer: OpenAnswer) -> ResponseReader {
+        ResponseReader { body: answer.body, text: String::new() }
     }
 
     /// Reads until the event of this id has come.
@@ -35,7 +35,7 @@
     }
 
     /// Reads on to the end; returns the whole text unless the answer was cut.
-    pub(super) async fn rest(mut self) -> Result<String, String> {
+    pub(super) async fn read_rest(mut self) -> Result<String, String> {
         let rest = self.body.collect(MAX_TEXT).await?;
         self.text += std::str::from_utf8(&rest).unwrap();
         Ok(self.text)
--- a/crates/server/src/relay/tests/budget.rs
+++ b/crates/server/src/relay/tests/retry_budget.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use trayswitch_core::{mechanism::Disabled, units::Instant};
 
-use crate::relay::{RelayOptions, budget::RepeatBudget};
+use crate::relay::{RelayOptions, retry_budget::RetryBudget};
 use crate::testing::fixed_seed;
 
 fn options() -> RelayOptions {
@@ -29,32 +29,32 @@
     /// every window.
     #[test]
     fn all_entries_together_keep_the_bound(
-        entries in 1usize..9,
+        daemons in 1usize..9,
         steps in proptest::collection::vec((0usize..9, any::<bool>(), 1u64..400), 1..600),
     ) {
         let options = options();
-        let mut budgets: Vec<RepeatBudget> = (0..entries).map(|_| RepeatBudget::default()).collect();
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let mut budgets: Vec<RetryBudget> = (0..daemons).map(|_| RetryBudget::default()).collect();
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         let mut now = 0;
-        for (entry, repeat, ms) in steps {
+        for (daemon, is_retry, ms) in steps {
             now += ms * 1_000;
             let at = Instant(now);
-            let budget = &mut budgets[entry % entries];
-            if repeat {
-                if budget.take(&options, entries as u64, at) {
-                    repeats.push(now);
+            let retry_budget = &mut budgets[daemon % daemons];
+            if is_retry {
+                if retry_budget.try_acquire(&options, daemons as u64, at) {
+                    retries.push(now);
                 }
             } else {
-                budget.note_request(&options, at);
+                retry_budget.record_request(&options, at);
                 requests.push(now);
             }
         }
         let window = options.retry_window.as_micros() as u64;
-        for end in &repeats {
+        for end in &retries {
             let inside = |at: &&u64| **at <= *end && *end < **at + window;
             let allowed = options.retry_slack
                 + options.retry_ratio * requests.iter().filter(inside).count() as f64;
-            prop_assert!(repeats.iter().filter(inside).count() as f64 <= allowed);
+            prop_assert!(retries.iter().filter(inside).count() as f64 <= allowed);
         }
     }
 }
@@ -62,10 +62,10 @@
 #[gtest]
 fn repeats_come_back_when_the_window_has_passed() {
     let options = options();
-    let mut budget = RepeatBudget::default();
-    while budget.take(&options, 9, Instant(0)) {}
+    let mut retry_budget = RetryBudget::default();
+    while retry_budget.try_acquire(&options, 9, Instant(0)) {}
 
     let later = Instant(options.retry_window.as_micros() as u64);
 
-    expect_that!(budget.take(&options, 9, later), eq(true));
+    expect_that!(retry_budget.try_acquire(&options, 9, later), eq(true));
 }
--- a/crates/server/src/relay/tests/starting.rs
+++ b/crates/server/src/relay/tests/startup.rs
@@ -7,8 +7,8 @@
 use tokio::join;
 
 use super::{
-    entry::{Entry, on_local_tasks},
-    reading::text,
+    response::text,
+    test_daemon::{TestDaemon, run_test},
 };
 
 /// Longer than a test may take.
@@ -16,13 +16,13 @@
 
 #[gtest]
 fn a_call_waits_for_a_daemon_that_has_just_started() {
-    on_local_tasks(async {
-        let entry = Entry::start(LONG);
+    run_test(async {
+        let daemon = TestDaemon::start(LONG);
 
-        let (answer, ()) = join!(entry.ask("/once/x", "r1"), async {
-            entry.connected().await;
-            entry.configure().await;
-            let mut endpoint = entry.register("desk", "e1").await;
+        let (answer, ()) = join!(daemon.send("/once/x", "r1"), async {
+            daemon.wait_for_connection().await;
+            daemon.configure().await;
+            let mut endpoint = daemon.register("desk", "e1").await;
             endpoint.arrival().await.answer(200, "done");
         });
 
@@ -32,10 +32,10 @@
 
 #[gtest]
 fn a_call_is_refused_at_once_when_a_configuration_is_not_to_be_expected() {
-    on_local_tasks(async {
-        let entry = Entry::start(Duration::ZERO);
+    run_test(async {
+        let daemon = TestDaemon::start(Duration::ZERO);
 
-        let answer = entry.ask("/once/x", "r1").await;
+        let answer = daemon.send("/once/x", "r1").await;
 
         expect_that!(answer.head.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     });
--- a/crates/server/src/relay/tests/suspended.rs
+++ b/crates/server/src/relay/tests/suspension.rs
@@ -10,31 +10,31 @@
 use tokio::join;
 
 use super::{
-    endpoint::{FakeEndpoint, events_to},
-    entry::{Entry, on_local_tasks},
-    reading::{Reading, outcome, text},
+    fake_endpoint::{FakeEndpoint, events_to},
+    response::{ResponseReader, outcome, text},
+    test_daemon::{TestDaemon, run_test},
 };
 
 /// An entry whose configuration was confirmed once, and will not be again.
-async fn confirmed_once() -> Entry {
-    Entry::confirmed_once(Duration::ZERO).await
+async fn confirmed_once() -> TestDaemon {
+    TestDaemon::confirmed_once(Duration::ZERO).await
 }
 
 /// An engine with much room.
-async fn engine(entry: &Entry, name: &str) -> FakeEndpoint {
-    let engine = entry.register("engines", name).await;
-    engine.tell_room(0, true);
+async fn engine(daemon: &TestDaemon, name: &str) -> FakeEndpoint {
+    let engine = daemon.register("engines", name).await;
+    engine.set_capacity(0, true);
     engine
 }
 
 #[gtest]
 fn a_request_that_comes_after_it_runs_nowhere() {
-    on_local_tasks(async {
-        let entry = confirmed_once().await;
-        let mut desk = entry.register("desk", "e1").await;
+    run_test(async {
+        let daemon = confirmed_once().await;
+        let mut desk = daemon.register("desk", "e1").await;
 
-        entry.suspend();
-        let answer = entry.ask("/once/x", "r1").await;
+        daemon.suspend();
+        let answer = daemon.send("/once/x", "r1").await;
 
         expect_that!(answer.head.status, eq(StatusCode::SERVICE_UNAVAILABLE));
         expect_that!(outcome(&answer), some(eq("not_ready")));
@@ -44,26 +44,26 @@
 
 #[gtest]
 fn callers_are_not_sent_to_it_before_it_is_up_to_date_again() {
-    on_local_tasks(async {
-        let entry = confirmed_once().await;
-        let before = entry.is_ready();
+    run_test(async {
+        let daemon = confirmed_once().await;
+        let before = daemon.is_ready();
 
-        entry.suspend();
+        daemon.suspend();
 
         expect_that!(before, eq(true));
-        expect_that!(entry.is_ready(), eq(false));
+        expect_that!(daemon.is_ready(), eq(false));
     });
 }
 
 #[gtest]
 fn a_generation_that_waited_for_a_place_runs_nowhere() {
-    on_local_tasks(async {
-        let entry = confirmed_once().await;
+    run_test(async {
+        let daemon = confirmed_once().await;
 
-        let (answer, engine) = join!(entry.ask("/chat/", "r1"), async {
-            entry.has_in_progress(1).await;
-            entry.suspend();
-            engine(&entry, "e1").await
+        let (answer, engine) = join!(daemon.send("/chat/", "r1"), async {
+            daemon.wait_for_in_progress(1).await;
+            daemon.suspend();
+            engine(&daemon, "e1").await
         });
 
         let mut engine = engine;
@@ -74,17 +74,17 @@
 
 #[gtest]
 fn a_call_that_failed_meanwhile_is_not_sent_again() {
-    on_local_tasks(async {
-        let entry = confirmed_once().await;
-        let mut e1 = entry.register("desk", "e1").await;
-        let mut e2 = entry.register("desk", "e2").await;
+    run_test(async {
+        let daemon = confirmed_once().await;
+        let mut e1 = daemon.register("desk", "e1").await;
+        let mut e2 = daemon.register("desk", "e2").await;
 
-        let (answer, ()) = join!(entry.ask("/again/x", "r1"), async {
+        let (answer, ()) = join!(daemon.send("/again/x", "r1"), async {
             let arrival = tokio::select! {
                 arrival = e1.arrival() => arrival,
                 arrival = e2.arrival() => arrival,
             };
-            entry.suspend();
+            daemon.suspend();
             arrival.answer(500, "failed");
         });
 
@@ -95,11 +95,11 @@
 
 #[gtest]
 fn a_summary_that_was_cut_meanwhile_does_not_go_on_elsewhere() {
-    on_local_tasks(async {
-        let entry = confirmed_once().await;
-        let mut e1 = engine(&entry, "e1").await;
-        let mut e2 = engine(&entry, "e2").await;
-        let (answer, stream) = join!(entry.ask("/recap/", "r1"), async {
+    run_test(async {
+        let daemon = confirmed_once().await;
+        let mut e1 = engine(&daemon, "e1").await;
+        let mut e2 = engine(&daemon, "e2").await;
+        let (answer, stream) = join!(daemon.send("/recap/", "r1"), async {
             let arrival = tokio::select! {
                 arrival = e1.arrival() => arrival,
                 arrival = e2.arrival() => arrival,
@@ -108,27 +108,27 @@
             stream.events(1..=2).await;
             stream
         });
-        let mut reading = Reading::new(answer);
-        reading.read_to(2).await;
+        let mut reader = ResponseReader::new(answer);
+        reader.read_to(2).await;
 
-        entry.suspend();
-        stream.cut().await;
+        daemon.suspend();
+        stream.abort().await;
 
-        expect_that!(reading.rest().await, err(anything()));
+        expect_that!(reader.read_rest().await, err(anything()));
         expect_true!(e1.is_idle() && e2.is_idle());
     });
 }
 
 #[gtest]
 fn a_generation_that_runs_goes_on() {
-    on_local_tasks(async {
-        let entry = confirmed_once().await;
-        let mut engine = engine(&entry, "e1").await;
+    run_test(async {
+        let daemon = confirmed_once().await;
+        let mut engine = engine(&daemon, "e1").await;
 
-        let (answer, ()) = join!(entry.ask("/chat/", "r1"), async {
+        let (answer, ()) = join!(daemon.send("/chat/", "r1"), async {
             let stream = engine.arrival().await.stream();
             stream.events(1..=2).await;
-            entry.suspend();
+            daemon.suspend();
             stream.events(3..=3).await;
             stream.end();
         });
@@ -139,11 +139,11 @@
 
 #[gtest]
 fn a_request_whose_time_is_over_is_answered_at_once() {
-    on_local_tasks(async {
-        let entry = confirmed_once().await;
-        let mut desk = entry.register("desk", "e1").await;
+    run_test(async {
+        let daemon = confirmed_once().await;
+        let mut desk = daemon.register("desk", "e1").await;
 
-        let (answer, arrival) = join!(entry.ask("/once/x", "r1"), async {
+        let (answer, arrival) = join!(daemon.send("/once/x", "r1"), async {
             let arrival = desk.arrival().await;
             // As long as the route lets a request take.
             trayswitch_clock::suspend(Duration::from_secs(600));
@@ -157,12 +157,12 @@
 
 #[gtest]
 fn a_daemon_that_leads_serves_again_once_it_has_confirmed_anew() {
-    on_local_tasks(async {
-        let entry = Entry::open().await;
-        let mut desk = entry.register("desk", "e1").await;
+    run_test(async {
+        let daemon = TestDaemon::open().await;
+        let mut desk = daemon.register("desk", "e1").await;
 
-        entry.suspend();
-        let (answer, ()) = join!(entry.ask("/once/x", "r1"), async {
+        daemon.suspend();
+        let (answer, ()) = join!(daemon.send("/once/x", "r1"), async {
             desk.arrival().await.answer(200, "done");
         });
 
--- a/crates/server/src/relay/tests/entry.rs
+++ b/crates/server/src/relay/tests/test_daemon.rs
@@ -24,7 +24,7 @@
 };
 
 use super::{
-    endpoint::FakeEndpoint,
+    fake_endpoint::FakeEndpoint,
     protocol::{ID, TestProtocol},
 };
 use crate::{
@@ -126,18 +126,18 @@
 }
 
 /// Runs a test on the local tasks of one thread. One that waits for what never comes fails.
-pub(super) fn on_local_tasks<T>(test: impl Future<Output = T>) -> T {
+pub(super) fn run_test<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let bounded = async { tokio::time::timeout(LIMIT, test).await.expect("the test goes on") };
     let result = LocalSet::new().block_on(&runtime, bounded);
     drop(runtime);
-    FOLDERS.take().iter().for_each(|folder| remove_when_closed(folder));
+    DATA_FOLDERS.take().iter().for_each(|folder| remove_when_closed(folder));
     result
 }
 
 thread_local! {
     /// Data folders of the entries that the current test has started.
-    static FOLDERS: RefCell<Vec<PathBuf>> = const { RefCell::new(Vec::new()) };
+    static DATA_FOLDERS: RefCell<Vec<PathBuf>> = const { RefCell::new(Vec::new()) };
 }
 
 /// Removes a data folder once its daemon, which ends with the test's tasks, has let it go: a
@@ -152,41 +152,41 @@
 }
 
 /// An entry with its configuration in force.
-pub(super) struct Entry {
+pub(super) struct TestDaemon {
     node: NodeHandle,
     server: Server,
     metrics: Rc<Metrics>,
 }
 
-impl Entry {
+impl TestDaemon {
     /// Starts an entry and waits until it is ready.
-    pub(super) async fn open() -> Entry {
-        let entry = Entry::start(LIMIT);
-        entry.configure().await;
-        entry.until(|| entry.node.view().ready()).await;
-        entry
+    pub(super) async fn open() -> TestDaemon {
+        let daemon = TestDaemon::start(LIMIT);
+        daemon.configure().await;
+        daemon.wait_until(|| daemon.node.view().ready()).await;
+        daemon
     }
 
     /// Starts an entry without a configuration. Requests wait this long for one.
-    pub(super) fn start(config_recovery_timeout: Duration) -> Entry {
-        Entry::spawn(runtime_options(Some(new_folder())), config_recovery_timeout)
+    pub(super) fn start(config_recovery_timeout: Duration) -> TestDaemon {
+        TestDaemon::spawn(runtime_options(Some(new_folder())), config_recovery_timeout)
     }
 
     /// An entry that has its configuration from a control VM which can no longer be reached.
-    pub(super) async fn without_scheduler() -> Entry {
-        Entry::confirmed_once(LIMIT).await
+    pub(super) async fn without_scheduler() -> TestDaemon {
+        TestDaemon::confirmed_once(LIMIT).await
     }
 
     /// The same; requests wait this long for a configuration that is known to be current.
-    pub(super) async fn confirmed_once(config_recovery_timeout: Duration) -> Entry {
-        let entry = Entry::spawn(runtime_options(None), config_recovery_timeout);
-        entry.confirm_by_a_leader_that_is_lost();
-        entry.until(|| entry.node.view().ready()).await;
-        entry
+    pub(super) async fn confirmed_once(config_recovery_timeout: Duration) -> TestDaemon {
+        let daemon = TestDaemon::spawn(runtime_options(None), config_recovery_timeout);
+        daemon.confirm_config_once();
+        daemon.wait_until(|| daemon.node.view().ready()).await;
+        daemon
     }
 
     /// Plays the part of a leader that links, brings the configuration into force and is gone.
-    fn confirm_by_a_leader_that_is_lost(&self) {
+    fn confirm_config_once(&self) {
         let leader: VmName = CONTROL.into();
         let document = Document::parse("test.ini", CONFIG).unwrap();
         let hash = Bytes::copy_from_slice(&document.content_hash().0);
@@ -208,7 +208,7 @@
         self.node.input(Input::LinkDown(leader));
     }
 
-    fn spawn(options: RuntimeOptions, config_recovery_timeout: Duration) -> Entry {
+    fn spawn(options: RuntimeOptions, config_recovery_timeout: Duration) -> TestDaemon {
         let metrics = Rc::new(Metrics::new().unwrap());
         let node = NodeHandle::spawn(options, metrics.clone()).unwrap();
         let options = RelayOptions {
@@ -224,7 +224,7 @@
         let protocol = Box::new(TestProtocol);
         let relay = Relay::new(node.clone(), protocol, HALL.into(), options, metrics.clone());
         let server = edge::bind("127.0.0.1:0".parse().unwrap(), Rc::new(relay)).unwrap();
-        Entry { node, server, metrics }
+        TestDaemon { node, server, metrics }
     }
 
     /// Brings the configuration into force.
@@ -232,7 +232,7 @@
         let document = Document::parse("test.ini", CONFIG).unwrap();
         let checked = CheckedDocument::new("test.ini", document).unwrap();
         self.node.submit("test.ini", &checked, false, LIMIT).await.unwrap();
-        self.until(|| self.node.view().active_config().is_some()).await;
+        self.wait_until(|| self.node.view().active_config().is_some()).await;
     }
 
     /// Suspends the VM for longer than a configuration holds.
@@ -247,18 +247,18 @@
     }
 
     /// Returns once a caller has connected.
-    pub(super) async fn connected(&self) {
-        self.until(|| 0 < self.server.open()).await;
+    pub(super) async fn wait_for_connection(&self) {
+        self.wait_until(|| 0 < self.server.open()).await;
     }
 
     /// Returns once no caller is connected and nothing is done for any.
-    pub(super) async fn at_rest(&self) {
-        self.until(|| self.server.open() == 0 && self.in_progress() == 0).await;
+    pub(super) async fn wait_until_idle(&self) {
+        self.wait_until(|| self.server.open() == 0 && self.in_progress() == 0).await;
     }
 
     /// Returns once so many requests are in progress.
-    pub(super) async fn has_in_progress(&self, count: u64) {
-        self.until(|| self.in_progress() == count).await;
+    pub(super) async fn wait_for_in_progress(&self, count: u64) {
+        self.wait_until(|| self.in_progress() == count).await;
     }
 
     fn in_progress(&self) -> u64 {
@@ -266,8 +266,8 @@
     }
 
     /// Returns once this metric stands at so much.
-    pub(super) async fn has_counted(&self, name: &str, count: u64) {
-        self.until(|| self.metric(name) == Some(count)).await;
+    pub(super) async fn wait_for_metric(&self, name: &str, count: u64) {
+        self.wait_until(|| self.metric(name) == Some(count)).await;
     }
 
     /// A metric by its name and labels, if it has been counted.
@@ -299,32 +299,33 @@
         slots: u64,
     ) -> FakeEndpoint {
         let endpoint = FakeEndpoint::open();
-        let record = first_heartbeat(service, name, &endpoint);
+        let record = heartbeat(service, name, &endpoint);
         self.node.input(Input::Heartbeat(EndpointRecord { slots, ..record }));
-        self.until(|| self.is_open(name) == Some(true)).await;
+        self.wait_until(|| self.is_open(name) == Some(true)).await;
         endpoint
     }
 
     /// Another run of an endpoint has started under its name.
-    pub(super) async fn starts_again(&self, service: &str, name: &str) -> FakeEndpoint {
+    pub(super) async fn restart_endpoint(&self, service: &str, name: &str) -> FakeEndpoint {
         let endpoint = FakeEndpoint::open();
-        let record = first_heartbeat(service, name, &endpoint);
+        let record = heartbeat(service, name, &endpoint);
         self.node.input(Input::Heartbeat(EndpointRecord { born: 1, ..record }));
-        self.until(|| self.node.view().endpoint(name).is_some_and(|known| known.born == 1)).await;
+        self.wait_until(|| self.node.view().endpoint(name).is_some_and(|known| known.born == 1))
+            .await;
         endpoint
     }
 
     /// Takes an endpoint's word that it will end; returns once requests know of it.
-    pub(super) async fn leaves(&self, name: &str) {
+    pub(super) async fn announce_leaving(&self, name: &str) {
         self.node.input(Input::Farewell(name.into()));
-        self.until(|| self.is_open(name) == Some(false)).await;
+        self.wait_until(|| self.is_open(name) == Some(false)).await;
     }
 
     /// Takes the endpoints' data hall out of service or gives it back; returns once requests know of
     /// it, by the endpoint of this name.
-    pub(super) async fn order_hall(&self, out: bool, name: &str) {
+    pub(super) async fn set_hall_out(&self, out: bool, name: &str) {
         self.node.order_hall(HALL, out, LIMIT).await.expect("the order is answered");
-        self.until(|| self.is_open(name) == Some(!out)).await;
+        self.wait_until(|| self.is_open(name) == Some(!out)).await;
     }
 
     fn is_open(&self, name: &str) -> Option<bool> {
@@ -332,14 +333,14 @@
     }
 
     /// Lets everything else go on until this is so.
-    async fn until(&self, is_so: impl Fn() -> bool) {
+    async fn wait_until(&self, is_so: impl Fn() -> bool) {
         while !is_so() {
             tokio::task::yield_now().await;
         }
     }
 
     /// Sends a request and waits for the head of its answer.
-    pub(super) async fn ask(&self, path: &str, id: &str) -> OpenAnswer {
+    pub(super) async fn send(&self, path: &str, id: &str) -> OpenAnswer {
         let req = Request::post(path).header(http::header::HOST, "host").header(ID, id);
         let req = req.body(Full::default()).unwrap();
         let answer = exchange(self.server.address(), req, LIMIT);
@@ -349,7 +350,7 @@
 
 /// A daemon that leads a group of its own, or one without a data folder that has it from another.
 /// What an endpoint with 48 places says first of itself.
-fn first_heartbeat(service: &str, name: &str, endpoint: &FakeEndpoint) -> EndpointRecord {
+fn heartbeat(service: &str, name: &str, endpoint: &FakeEndpoint) -> EndpointRecord {
     EndpointRecord {
         id: name.to_owned(),
         service: service.to_owned(),
@@ -394,6 +395,6 @@
     let (pid, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let folder = std::env::temp_dir().join(format!("trayswitch-relay-{pid}-{number}"));
     fs::create_dir_all(&folder).unwrap();
-    FOLDERS.with_borrow_mut(|folders| folders.push(folder.clone()));
+    DATA_FOLDERS.with_borrow_mut(|folders| folders.push(folder.clone()));
     folder
 }
