--- a/crates/core/src/node/control_client/mod.rs
+++ b/crates/core/src/node/control_client/mod.rs
@@ -16,7 +16,7 @@
 use super::{
     CallId, NodeOptions, NodeTiming, Outbox, Output, VersionHash, VmName,
     config_store::{ActiveConfig, ConfigSources, ConfigStore},
-    reads::{Confirmed, Reads, Wanted},
+    reads::{Confirmed, PendingReads, ReadTarget},
 };
 use crate::{
     config::ContentHash,
@@ -66,7 +66,7 @@
 /// Keeps the configuration in force.
 pub(crate) struct ControlClient {
     sources: ConfigSources,
-    reads: Reads,
+    reads: PendingReads,
     timing: NodeTiming,
     config_store: ConfigStore,
     changed: bool,
@@ -89,7 +89,7 @@
     /// The configuration was current at this time; zero means never confirmed.
     confirmed: Option<Instant>,
     fresh: bool,
-    told_confirmed: Option<Instant>,
+    reported_confirmed: Option<Instant>,
     takes_callers: bool,
     stopping: bool,
     /// What is known here of suspects, for polls.
@@ -100,7 +100,7 @@
     pub(crate) fn new(options: &NodeOptions, now: Instant) -> ControlClient {
         ControlClient {
             sources: ConfigSources::new(&options.vm, &options.seeds),
-            reads: Reads::default(),
+            reads: PendingReads::default(),
             timing: options.timing,
             config_store: ConfigStore::new(now),
             changed: false,
@@ -120,7 +120,7 @@
             fresh: false,
             takes_callers: options.takes_callers,
             stopping: false,
-            told_confirmed: None,
+            reported_confirmed: None,
             suspects: Known::default().state(),
         }
     }
@@ -202,7 +202,7 @@
     pub(crate) fn read(
         &mut self,
         call: CallId,
-        wanted: Wanted,
+        wanted: ReadTarget,
         deadline: Instant,
         now: Instant,
         out: &mut Outbox,
@@ -342,9 +342,9 @@
     fn judge_freshness(&mut self, now: Instant, out: &mut Outbox) {
         let age = self.confirmed.map(|at| now.since(at));
         let fresh = age.is_some_and(|age| age < self.timing.stale_after);
-        if self.confirmed != self.told_confirmed || fresh != self.fresh {
+        if self.confirmed != self.reported_confirmed || fresh != self.fresh {
             self.fresh = fresh;
-            self.told_confirmed = self.confirmed;
+            self.reported_confirmed = self.confirmed;
             let daemons = self.leader.as_ref().map_or(0, |leader| leader.daemons);
             let entries =
                 self.leader.as_ref().map_or(EntryDaemons::default(), |leader| leader.entries);
--- a/crates/core/src/node/inputs.rs
+++ b/crates/core/src/node/inputs.rs
@@ -6,7 +6,7 @@
     CallId, Clocks, ControlReplica, Input, Node, NodeCall, NodeReply, Output, VmName,
     endpoints::endpoint_statuses,
     operations::{SETTLE_LIMIT, SUBMIT_LIMIT},
-    reads::Wanted,
+    reads::ReadTarget,
 };
 use crate::{
     mechanism::Mechanism,
@@ -101,27 +101,27 @@
             }
             NodeCall::Submit(submit) => {
                 let kind = OperationKind::Submit(submit);
-                self.operations.ask(call, kind, SUBMIT_LIMIT, leader, clocks.now, out);
+                self.operations.start(call, kind, SUBMIT_LIMIT, leader, clocks.now, out);
             }
             NodeCall::Claim { claim, limit } => {
                 let kind = OperationKind::Claim(claim);
-                self.operations.ask(call, kind, limit, leader, clocks.now, out);
+                self.operations.start(call, kind, limit, leader, clocks.now, out);
             }
             NodeCall::Settle(settle) => {
                 let kind = OperationKind::Settle(settle);
-                self.operations.ask(call, kind, SETTLE_LIMIT, leader, clocks.now, out);
+                self.operations.start(call, kind, SETTLE_LIMIT, leader, clocks.now, out);
             }
             NodeCall::ChangeHall { order, limit } => {
                 let kind = OperationKind::Hall(order);
-                self.operations.ask(call, kind, limit, leader, clocks.now, out);
+                self.operations.start(call, kind, limit, leader, clocks.now, out);
             }
             NodeCall::ReadConfig { limit } => {
                 let deadline = clocks.now.after(limit);
-                self.client.read(call, Wanted::Configuration, deadline, clocks.now, out);
+                self.client.read(call, ReadTarget::Configuration, deadline, clocks.now, out);
             }
             NodeCall::ReadHallsOut { limit } => {
                 let deadline = clocks.now.after(limit);
-                self.client.read(call, Wanted::HallsOut, deadline, clocks.now, out);
+                self.client.read(call, ReadTarget::HallsOut, deadline, clocks.now, out);
             }
             NodeCall::Trial { request, limit } => {
                 let (suspects, cx, out) = self.suspects_context(clocks);
@@ -134,7 +134,7 @@
             NodeCall::ClearSuspect { request, limit } => {
                 let request = Bytes::copy_from_slice(request.as_bytes());
                 let kind = OperationKind::Clear(ClearRequest { request });
-                self.operations.ask(call, kind, limit, leader, clocks.now, out);
+                self.operations.start(call, kind, limit, leader, clocks.now, out);
             }
             NodeCall::Suspects => {
                 let all = self.control.as_ref().map(|control| control.state().suspects().all());
@@ -173,7 +173,7 @@
             Body::NotLeader(reply) => {
                 self.client.not_leader(from, reply.leader.as_deref(), clocks.now);
                 if let Some(operation) = reply.operation {
-                    self.operations.not_taken(operation);
+                    self.operations.retry_at_next_tick(operation);
                 }
             }
             Body::Suspects(news) => self.on_suspect_news(&news, clocks.now),
--- a/crates/core/src/node/operations.rs
+++ b/crates/core/src/node/operations.rs
@@ -72,7 +72,7 @@
     }
 
     /// Carries an operation to the leader and answers `call`, within this time.
-    pub(crate) fn ask(
+    pub(crate) fn start(
         &mut self,
         call: CallId,
         kind: OperationKind,
@@ -85,7 +85,7 @@
     }
 
     /// Carries an operation that nobody waits for; returns its number.
-    pub(crate) fn carry(
+    pub(crate) fn start_detached(
         &mut self,
         kind: OperationKind,
         limit: Duration,
@@ -121,7 +121,7 @@
     }
 
     /// The receiver did not lead; the operation waits for the next tick.
-    pub(crate) fn not_taken(&mut self, id: u64) {
+    pub(crate) fn retry_at_next_tick(&mut self, id: u64) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.sent = None;
         }
--- a/crates/core/src/node/operations_tests.rs
+++ b/crates/core/src/node/operations_tests.rs
@@ -33,7 +33,7 @@
         let mut asked =
             Asked { operations: Operations::numbered_from(1), leader, out: Outbox::default() };
         let (operations, leader) = (&mut asked.operations, Some(&asked.leader));
-        operations.ask(CallId(1), kind, SUBMIT_LIMIT, leader, NOW, &mut asked.out);
+        operations.start(CallId(1), kind, SUBMIT_LIMIT, leader, NOW, &mut asked.out);
         asked
     }
 
--- a/crates/core/src/node/reads.rs
+++ b/crates/core/src/node/reads.rs
@@ -7,7 +7,7 @@
 
 /// What a question asks for.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Wanted {
+pub(super) enum ReadTarget {
     /// The newest accepted configuration.
     Configuration,
     /// The data halls that are out of service.
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Read {
     call: CallId,
-    wanted: Wanted,
+    wanted: ReadTarget,
     asked: Instant,
     deadline: Instant,
 }
@@ -31,13 +31,19 @@
 
 /// The questions that wait.
 #[derive(Debug, Default)]
-pub(super) struct Reads {
+pub(super) struct PendingReads {
     waiting: Vec<Read>,
 }
 
-impl Reads {
+impl PendingReads {
     /// Takes a question that came now.
-    pub(super) fn ask(&mut self, call: CallId, wanted: Wanted, deadline: Instant, now: Instant) {
+    pub(super) fn ask(
+        &mut self,
+        call: CallId,
+        wanted: ReadTarget,
+        deadline: Instant,
+        now: Instant,
+    ) {
         self.waiting.push(Read { call, wanted, asked: now, deadline });
     }
 
@@ -56,18 +62,20 @@
     ) {
         self.waiting.retain(|read| {
             let as_of = match read.wanted {
-                Wanted::Configuration => config.as_of,
-                Wanted::HallsOut => halls.as_of,
+                ReadTarget::Configuration => config.as_of,
+                ReadTarget::HallsOut => halls.as_of,
             };
             let is_confirmed = as_of.is_some_and(|at| read.asked <= at);
             if !is_confirmed && now < read.deadline {
                 return true;
             }
             let answer = match read.wanted {
-                Wanted::Configuration => {
+                ReadTarget::Configuration => {
                     NodeReply::Config(config.what.filter(|_| is_confirmed).cloned())
                 }
-                Wanted::HallsOut => NodeReply::HallsOut(is_confirmed.then(|| halls.what.clone())),
+                ReadTarget::HallsOut => {
+                    NodeReply::HallsOut(is_confirmed.then(|| halls.what.clone()))
+                }
             };
             out.reply(read.call, answer);
             false
--- a/crates/core/src/node/suspect_tracker.rs
+++ b/crates/core/src/node/suspect_tracker.rs
@@ -180,7 +180,7 @@
             EndedRun { endpoint: endpoint.to_string(), born: started_at.unwrap_or(0), seen_ms };
         let ended = EndedUnder { run, request: bytes_of(request), in_trial };
         let kind = OperationKind::Ended(ended);
-        let number = cx.operations.carry(kind, REPORT_TIMEOUT, cx.leader, cx.now, out);
+        let number = cx.operations.start_detached(kind, REPORT_TIMEOUT, cx.leader, cx.now, out);
         let until = cx.now.after(REPORT_TIMEOUT);
         let end = ReportedCrash { request: *request, in_trial, recorded: None, until };
         self.reported.insert(number, end);
@@ -276,7 +276,7 @@
         };
         if whole {
             let kind = OperationKind::Clear(ClearRequest { request: bytes_of(&request) });
-            let number = cx.operations.carry(kind, REPORT_TIMEOUT, cx.leader, cx.now, out);
+            let number = cx.operations.start_detached(kind, REPORT_TIMEOUT, cx.leader, cx.now, out);
             self.finishing.insert(number, call);
         } else if !self.finishing.values().any(|ending| *ending == call) {
             send_trial_over(call, cx.leader, out);
@@ -292,7 +292,7 @@
     ) {
         if self.standing(request).is_suspect() {
             let kind = OperationKind::Clear(ClearRequest { request: bytes_of(request) });
-            cx.operations.carry(kind, REPORT_TIMEOUT, cx.leader, cx.now, out);
+            cx.operations.start_detached(kind, REPORT_TIMEOUT, cx.leader, cx.now, out);
         }
     }
 
