--- a/crates/core/src/node/config_store.rs
+++ b/crates/core/src/node/config_store.rs
@@ -152,7 +152,7 @@
         let taken = match delta {
             Some(Ok(delta)) => self.apply(AcceptedChange { id, delta }, out),
             Some(Err(_)) => {
-                out.push(Output::Unusable { version, why: "it cannot be read" });
+                out.push(Output::ConfigRejected { version, reason: "it cannot be read" });
                 false
             }
             None => false,
@@ -175,7 +175,10 @@
         let change = match fetching.take(piece, now, out) {
             Taken::Part => return false,
             Taken::Broken => {
-                out.push(Output::Unusable { version, why: "a piece of it cannot be read" });
+                out.push(Output::ConfigRejected {
+                    version,
+                    reason: "a piece of it cannot be read",
+                });
                 None
             }
             Taken::Whole(change) => Some(change),
@@ -284,8 +287,8 @@
         document.apply(&delta);
         let hash = document.content_hash();
         if hash.0[..] != id.hash[..] {
-            let why = "its content is not what its hash says";
-            out.push(Output::Unusable { version: id.version, why });
+            let reason = "its content is not what its hash says";
+            out.push(Output::ConfigRejected { version: id.version, reason });
             return false;
         }
         let delta = if goes_on { delta } else { self.document().delta_to(&document) };
@@ -309,7 +312,7 @@
         let VersionHash { version, hash } = version;
         let Ok(config) = config else {
             self.refused = Some(version);
-            out.push(Output::Unusable { version, why: "this release does not take it" });
+            out.push(Output::ConfigRejected { version, reason: "this release does not take it" });
             return false;
         };
         self.refused = None;
--- a/crates/core/src/node/control/answers.rs
+++ b/crates/core/src/node/control/answers.rs
@@ -66,7 +66,7 @@
             return;
         };
         for piece in pieces {
-            out.push(Output::SentChange(SentChange::piece(&piece, from)));
+            out.push(Output::SentChange(SentChange::fetched(&piece, from)));
             out.send(from, Body::Piece(piece));
         }
     }
--- a/crates/core/src/node/control/ready.rs
+++ b/crates/core/src/node/control/ready.rs
@@ -151,7 +151,7 @@
             for vm in self.daemons.keys() {
                 out.send(vm, Body::Update(update.clone()));
             }
-            out.push(Output::SentChange(SentChange::unasked(&update, self.daemons.len())));
+            out.push(Output::SentChange(SentChange::pushed(&update, self.daemons.len())));
         }
         self.answer_fetches(now, out);
     }
--- a/crates/core/src/node/control_client/mod.rs
+++ b/crates/core/src/node/control_client/mod.rs
@@ -348,7 +348,12 @@
             let daemons = self.leader.as_ref().map_or(0, |leader| leader.daemons);
             let entries =
                 self.leader.as_ref().map_or(EntryDaemons::default(), |leader| leader.entries);
-            out.push(Output::Fresh { fresh, confirmed: self.confirmed, daemons, entries });
+            out.push(Output::ConfigFreshness {
+                fresh,
+                confirmed: self.confirmed,
+                daemons,
+                entries,
+            });
         }
     }
 
--- a/crates/core/src/node/endpoint_sync_tests.rs
+++ b/crates/core/src/node/endpoint_sync_tests.rs
@@ -70,7 +70,7 @@
             let id = n as u64 + 1;
             let mut node = Node::replica(&options(&vm), id, Restored::default(), Instant(0));
             let records = known.iter().map(|n| record(*n)).collect();
-            node.handle(Input::Recall(records), clocks(0));
+            node.handle(Input::RestoreEndpoints(records), clocks(0));
             nodes.insert(vm, node);
         }
         Links { nodes, leader: None, silent: Vec::new(), now_ms: 1, sent: 0, told: BTreeMap::new() }
--- a/crates/core/src/node/endpoint_tests.rs
+++ b/crates/core/src/node/endpoint_tests.rs
@@ -203,7 +203,7 @@
 /// The endpoints that a node wants kept on disk.
 fn remembered(outputs: &[Output]) -> Option<&Vec<EndpointRecord>> {
     outputs.iter().rev().find_map(|output| match output {
-        Output::Remember(records) => Some(records),
+        Output::SaveEndpoints(records) => Some(records),
         _ => None,
     })
 }
--- a/crates/core/src/node/endpoints.rs
+++ b/crates/core/src/node/endpoints.rs
@@ -218,7 +218,7 @@
         let records: Vec<EndpointRecord> = self.registry.records().cloned().collect();
         let pause = SAVE_INTERVAL + scaled(SAVE_INTERVAL_PER_ENDPOINT, records.len());
         self.next_save = now.after(pause);
-        self.outputs.push(Output::Remember(records));
+        self.outputs.push(Output::SaveEndpoints(records));
     }
 
     /// Whether the endpoints have changed since they were kept; entries have no disk.
--- a/crates/core/src/node/inputs.rs
+++ b/crates/core/src/node/inputs.rs
@@ -33,8 +33,8 @@
             Input::Progress(call, tokens) => {
                 self.placement.on_progress(call, tokens, clocks.now, out)
             }
-            Input::Finished { call, tokens, whole } => {
-                self.placement.on_finished(call, tokens, whole, clocks.now, out);
+            Input::Finished { call, tokens, complete } => {
+                self.placement.on_finished(call, tokens, complete, clocks.now, out);
             }
             Input::Cancelled(call) => self.placement.cancel(call, clocks.now, out),
             Input::Health(endpoint, news) => {
@@ -44,19 +44,19 @@
                 let (suspects, mut cx, out) = self.suspects_context(clocks);
                 suspects.on_failed_attempt(broke_off, &mut cx, out);
             }
-            Input::AnsweredWhole(request) => {
+            Input::AnswerCompleted(request) => {
                 let (suspects, mut cx, out) = self.suspects_context(clocks);
                 suspects.on_complete_answer(&request, &mut cx, out);
             }
-            Input::TrialBegun(call) => {
+            Input::TrialStarted(call) => {
                 let (suspects, cx, out) = self.suspects_context(clocks);
                 suspects.on_trial_started(call, &cx, out);
             }
-            Input::TrialOver { call, whole } => {
+            Input::TrialEnded { call, complete } => {
                 let (suspects, mut cx, out) = self.suspects_context(clocks);
-                suspects.on_trial_over(call, whole, &mut cx, out);
+                suspects.on_trial_over(call, complete, &mut cx, out);
             }
-            Input::LimitRead(word) => {
+            Input::RateLimitReported(word) => {
                 let (permits, mut cx, out) = self.permits_context(clocks.now);
                 permits.on_report(word, &mut cx, out);
             }
@@ -71,12 +71,12 @@
                 self.registry.cool(&endpoint, started_at, clocks.now.after(left));
             }
             Input::Heartbeat(record) => self.on_heartbeat(record, clocks.now),
-            Input::Recall(records) => {
+            Input::RestoreEndpoints(records) => {
                 if self.disabled.allows(Mechanism::RecalledEndpoints) {
                     self.registry.recall(records, clocks.now);
                 }
             }
-            Input::Farewell(id) => self.on_deregistration(&id, clocks.now),
+            Input::EndpointDeregistered(id) => self.on_deregistration(&id, clocks.now),
             Input::Moved { call, at, done } => {
                 self.placement.on_relocated(call, &at, done, clocks.now, out);
             }
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -91,13 +91,13 @@
     pub priority: u64,
     /// The endpoints that this daemon has drawn at random, the one above among them, while no
     /// scheduler answers; none where a scheduler has granted the place.
-    pub drawn: Vec<SampledEndpoint>,
+    pub sampled: Vec<SampledEndpoint>,
 }
 
 impl Placement {
     /// A place that a scheduler has granted.
     pub(crate) fn granted(endpoint: Arc<str>, priority: u64) -> Placement {
-        Placement { endpoint, priority, drawn: Vec::new() }
+        Placement { endpoint, priority, sampled: Vec::new() }
     }
 }
 
@@ -168,25 +168,25 @@
         /// Tokens produced.
         tokens: u64,
         /// Whether with its whole answer.
-        whole: bool,
+        complete: bool,
     },
     /// The asker of a placement has left.
     Cancelled(CallId),
     /// An attempt at an endpoint broke off.
     FailedAttempt(FailedAttempt),
     /// A request that may be a suspect has brought its whole answer, in a try that was no trial.
-    AnsweredWhole(RequestDigest),
+    AnswerCompleted(RequestDigest),
     /// A trial has begun to answer well.
-    TrialBegun(CallId),
+    TrialStarted(CallId),
     /// A trial has ended, or its asker has left.
-    TrialOver {
+    TrialEnded {
         /// The try.
         call: CallId,
         /// Whether it has brought its whole answer.
-        whole: bool,
+        complete: bool,
     },
     /// An endpoint has said in an answer how much it takes, or names no limit any more.
-    LimitRead(Word),
+    RateLimitReported(Word),
     /// An endpoint has rejected a request of this daemon.
     Rejected(Rejection),
     /// An endpoint has said in an answer that it will end.
@@ -211,10 +211,10 @@
     Load(Report),
     /// An endpoint registered itself or sent a heartbeat.
     Heartbeat(EndpointRecord),
-    /// The endpoints that were last given out with [`Output::Remember`], at the start.
-    Recall(Vec<EndpointRecord>),
+    /// The endpoints that were last given out with [`Output::SaveEndpoints`], at the start.
+    RestoreEndpoints(Vec<EndpointRecord>),
     /// An endpoint said that it will end.
-    Farewell(Arc<str>),
+    EndpointDeregistered(Arc<str>),
     /// What became of a move.
     Moved {
         /// The request.
@@ -244,18 +244,18 @@
             Input::Finished { .. } => "finished",
             Input::Cancelled(_) => "cancelled",
             Input::FailedAttempt(_) => "broke_off",
-            Input::AnsweredWhole(_) => "answered_whole",
-            Input::TrialBegun(_) => "trial_begun",
-            Input::TrialOver { .. } => "own_trial_over",
-            Input::LimitRead(_) => "limit_read",
+            Input::AnswerCompleted(_) => "answered_whole",
+            Input::TrialStarted(_) => "trial_begun",
+            Input::TrialEnded { .. } => "own_trial_over",
+            Input::RateLimitReported(_) => "limit_read",
             Input::Rejected(_) => "rejected",
             Input::Leaving { .. } => "leaving",
             Input::Cold { .. } => "cold",
             Input::Health(..) => "own_health",
             Input::Load(_) => "load",
             Input::Heartbeat(_) => "heartbeat",
-            Input::Recall(_) => "recall",
-            Input::Farewell(_) => "farewell",
+            Input::RestoreEndpoints(_) => "recall",
+            Input::EndpointDeregistered(_) => "farewell",
             Input::Moved { .. } => "own_moved",
             Input::Seeds(_) => "seeds",
             Input::Stop => "stop",
@@ -273,23 +273,23 @@
     /// Number of daemons.
     pub daemons: usize,
     /// The daemon that has asked for it; nobody where the leader told all of an accepted one.
-    pub asked_by: Option<VmName>,
+    pub requested_by: Option<VmName>,
     /// Whether nothing is left to be sent of it.
     pub last: bool,
 }
 
 impl SentChange {
-    pub(super) fn unasked(update: &Update, daemons: usize) -> SentChange {
+    pub(super) fn pushed(update: &Update, daemons: usize) -> SentChange {
         let Update { change, delta } = update;
         let bytes = delta.as_ref().map_or(0, Bytes::len);
         let last = delta.is_some();
-        SentChange { change: change.clone(), bytes, daemons, asked_by: None, last }
+        SentChange { change: change.clone(), bytes, daemons, requested_by: None, last }
     }
 
-    pub(super) fn piece(piece: &Piece, vm: &VmName) -> SentChange {
+    pub(super) fn fetched(piece: &Piece, vm: &VmName) -> SentChange {
         let Piece { change, last, delta, .. } = piece;
-        let (bytes, asked_by) = (delta.len(), Some(vm.clone()));
-        SentChange { change: change.clone(), bytes, daemons: 1, asked_by, last: *last }
+        let (bytes, requested_by) = (delta.len(), Some(vm.clone()));
+        SentChange { change: change.clone(), bytes, daemons: 1, requested_by, last: *last }
     }
 }
 
@@ -309,14 +309,14 @@
     /// A change of the configuration was sent.
     SentChange(SentChange),
     /// An accepted configuration that cannot come into force on this daemon.
-    Unusable {
+    ConfigRejected {
         /// Its version.
         version: u64,
         /// What is wrong with it.
-        why: &'static str,
+        reason: &'static str,
     },
     /// Whether the configuration is confirmed to be current, and when it last was.
-    Fresh {
+    ConfigFreshness {
         /// Whether that is recent enough.
         fresh: bool,
         /// When it last was; nothing before the first time.
@@ -369,7 +369,7 @@
     /// The endpoints that registered themselves have changed.
     Registered(Vec<Registered>),
     /// Keep these endpoints on disk if that is possible, in place of those before.
-    Remember(Vec<EndpointRecord>),
+    SaveEndpoints(Vec<EndpointRecord>),
     /// Move a running request to another endpoint, then tell with [`Input::Moved`].
     Move {
         /// The request.
--- a/crates/core/src/node/placement_client/local.rs
+++ b/crates/core/src/node/placement_client/local.rs
@@ -56,8 +56,8 @@
                         out.send(scheduler, Body::Admit(running.admit_message(call)));
                     }
                     self.running.insert(call, running);
-                    let drawn = self.local.sampled_endpoints(ticket, now);
-                    let placement = Placement { endpoint, priority, drawn };
+                    let sampled = self.local.sampled_endpoints(ticket, now);
+                    let placement = Placement { endpoint, priority, sampled };
                     out.reply(call, NodeReply::Placed(Ok(placement)));
                 }
                 Action::GiveUp { ticket, error } => {
--- a/crates/core/src/node/suspect_tracker.rs
+++ b/crates/core/src/node/suspect_tracker.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrialAnswer {
     /// It may, as the only try, and apart from other requests if so. Its end is told with
-    /// [`super::Input::TrialOver`].
+    /// [`super::Input::TrialEnded`].
     Granted {
         /// Whether it must run without other requests on the endpoint.
         isolated: bool,
--- a/crates/core/src/node/tests/fleet/mod.rs
+++ b/crates/core/src/node/tests/fleet/mod.rs
@@ -155,7 +155,7 @@
     /// Control VMs know these endpoints from before their start.
     pub(super) fn recall(&mut self, site: &Site, records: &[EndpointRecord]) {
         for vm in &site.replicas {
-            self.arrive(vm, Input::Recall(records.to_vec()), self.now);
+            self.arrive(vm, Input::RestoreEndpoints(records.to_vec()), self.now);
         }
     }
 
@@ -226,7 +226,9 @@
             Output::Leader { term, .. } if 0 < term => {
                 self.terms.insert(term);
             }
-            Output::Fresh { confirmed: Some(confirmed), .. } => self.note_confirmed(vm, confirmed),
+            Output::ConfigFreshness { confirmed: Some(confirmed), .. } => {
+                self.note_confirmed(vm, confirmed)
+            }
             Output::Registered(endpoints) => {
                 let knew = self.knew.entry(vm.clone()).or_default();
                 knew.entry(endpoints.len()).or_insert(at);
--- a/crates/core/src/node/tests/insistent.rs
+++ b/crates/core/src/node/tests/insistent.rs
@@ -88,7 +88,7 @@
             self.ended.push(self.step);
             ends(net, &vm, &endpoint, trial);
             if let Some(call) = trial {
-                net.handle(&vm, Input::TrialOver { call, whole: false });
+                net.handle(&vm, Input::TrialEnded { call, complete: false });
             }
         }
     }
--- a/crates/core/src/node/tests/leaving.rs
+++ b/crates/core/src/node/tests/leaving.rs
@@ -111,14 +111,14 @@
     }
 
     fn end(&mut self, at: u8) {
-        self.tell(at, |call| Input::Finished { call, tokens: 5, whole: true });
+        self.tell(at, |call| Input::Finished { call, tokens: 5, complete: true });
     }
 
     /// Every caller that is still there leaves: a request that runs ends, one that waits is
     /// cancelled, and what has ended hears of it once more.
     fn all_leave(&mut self) {
         for Request { entry, call } in std::mem::take(&mut self.requests) {
-            let finished = Input::Finished { call, tokens: 5, whole: false };
+            let finished = Input::Finished { call, tokens: 5, complete: false };
             for input in [Input::Cancelled(call), finished] {
                 self.net.handle(&entry, input);
             }
--- a/crates/core/src/node/tests/limits.rs
+++ b/crates/core/src/node/tests/limits.rs
@@ -132,7 +132,7 @@
 fn read(net: &mut Net, vm: &VmName, asked: Instant, limit: Option<f64>) {
     let limit = limit.map(|per_second| RateLimit::new(per_second).unwrap());
     let word = Word { endpoint: ENDPOINT.into(), born: 0, limit, asked, read: net.time() };
-    net.handle(vm, Input::LimitRead(word));
+    net.handle(vm, Input::RateLimitReported(word));
 }
 
 /// The limit that a daemon knows of.
--- a/crates/core/src/node/tests/mod.rs
+++ b/crates/core/src/node/tests/mod.rs
@@ -166,7 +166,7 @@
     net.step(false);
 
     let [placement] = &net.seen.placements[..] else { panic!("{:?}", net.seen.placements) };
-    let drawn: Vec<_> = placement.drawn.iter().map(|drawn| drawn.endpoint.clone()).collect();
+    let drawn: Vec<_> = placement.sampled.iter().map(|drawn| drawn.endpoint.clone()).collect();
     expect_that!(drawn, eq(&vec![placement.endpoint.clone()]));
 }
 
@@ -181,7 +181,7 @@
     net.calm(20);
 
     let [placement] = &net.seen.placements[..] else { panic!("{:?}", net.seen.placements) };
-    expect_that!(placement.drawn, is_empty());
+    expect_that!(placement.sampled, is_empty());
 }
 
 #[gtest]
--- a/crates/core/src/node/tests/net/mishaps.rs
+++ b/crates/core/src/node/tests/net/mishaps.rs
@@ -60,7 +60,7 @@
             }
             _ => {
                 if let Some(call) = self.seen.placed.pop() {
-                    self.handle(&vm, Input::Finished { call, tokens: 5, whole: true });
+                    self.handle(&vm, Input::Finished { call, tokens: 5, complete: true });
                 }
             }
         }
--- a/crates/core/src/node/tests/net/mod.rs
+++ b/crates/core/src/node/tests/net/mod.rs
@@ -239,13 +239,15 @@
             Output::Reply(call, answer) => {
                 self.seen.check_answer(call, answer, Instant(self.now));
             }
-            Output::Fresh { confirmed: Some(at), .. } => {
+            Output::ConfigFreshness { confirmed: Some(at), .. } => {
                 self.seen.check_confirmed(vm, self.version_at(vm), at);
                 self.seen.halls.check_confirmed(vm, at);
             }
             Output::HallsOut(halls) => self.seen.halls.check(vm, &halls),
-            Output::Unusable { version, why } => panic!("version {version} is unusable: {why}"),
-            Output::Fresh { .. }
+            Output::ConfigRejected { version, reason } => {
+                panic!("version {version} is unusable: {reason}")
+            }
+            Output::ConfigFreshness { .. }
             | Output::SentChange(_)
             | Output::Suspect(_)
             | Output::Suspects { .. }
@@ -255,7 +257,7 @@
             | Output::Leader { .. }
             | Output::Dial(_)
             | Output::Registered(_)
-            | Output::Remember(_)
+            | Output::SaveEndpoints(_)
             | Output::Move { .. } => {}
         }
     }
--- a/crates/core/src/node/tests/suspects.rs
+++ b/crates/core/src/node/tests/suspects.rs
@@ -59,7 +59,7 @@
         let call = ask(net, &entry);
         net.wait(10);
         ends(net, &entry, endpoint, Some(call));
-        net.handle(&entry, Input::TrialOver { call, whole: false });
+        net.handle(&entry, Input::TrialEnded { call, complete: false });
         net.wait(10);
     }
 }
@@ -167,7 +167,7 @@
     expect_that!(net.seen.trials.get(&first), some(eq(&granted)));
     expect_that!(net.seen.trials.get(&second), none());
 
-    net.handle(&"vm-4".into(), Input::TrialOver { call: first, whole: true });
+    net.handle(&"vm-4".into(), Input::TrialEnded { call: first, complete: true });
     net.wait(10);
 
     expect_that!(net.seen.trials.get(&second), some(eq(&TrialAnswer::Clear)));
--- a/crates/server/src/relay/quarantine_turn.rs
+++ b/crates/server/src/relay/quarantine_turn.rs
@@ -85,7 +85,7 @@
         match &mut turn.trial {
             Some(trial) => trial.finish(),
             None if self.is_suspect(job) => {
-                self.node.input(Input::AnsweredWhole(job.digest(self)));
+                self.node.input(Input::AnswerCompleted(job.digest(self)));
             }
             None => {}
         }
--- a/crates/server/src/relay/rate_limit.rs
+++ b/crates/server/src/relay/rate_limit.rs
@@ -60,7 +60,7 @@
                 asked,
                 read: self.node.now(),
             };
-            self.node.input(Input::LimitRead(word));
+            self.node.input(Input::RateLimitReported(word));
         }
     }
 
--- a/crates/server/src/relay/tests/test_daemon.rs
+++ b/crates/server/src/relay/tests/test_daemon.rs
@@ -317,7 +317,7 @@
 
     /// Takes an endpoint's word that it will end; returns once requests know of it.
     pub(super) async fn announce_leaving(&self, name: &str) {
-        self.node.input(Input::Farewell(name.into()));
+        self.node.input(Input::EndpointDeregistered(name.into()));
         self.wait_until(|| self.is_open(name) == Some(false)).await;
     }
 
--- a/crates/server/src/runtime/mod.rs
+++ b/crates/server/src/runtime/mod.rs
@@ -129,7 +129,7 @@
                 event = EventId::EndpointsRecalled.number(), endpoints = remembered.len();
                 "endpoints are known from before the start"
             );
-            handle.input(Input::Recall(remembered));
+            handle.input(Input::RestoreEndpoints(remembered));
         }
         Ok(handle)
     }
@@ -213,7 +213,7 @@
                     let _ = writes.send(writer::Write::Log(number, persist));
                 }
             }
-            Output::Remember(endpoints) => {
+            Output::SaveEndpoints(endpoints) => {
                 if let Some(writes) = &self.0.writes {
                     // The writer ends only with the process.
                     let _ = writes.send(writer::Write::Endpoints(endpoints));
@@ -226,7 +226,7 @@
                 }
             }
             Output::ConfigActivated(active_config) => self.config_activated(active_config),
-            Output::Fresh { fresh, confirmed, daemons, entries } => {
+            Output::ConfigFreshness { fresh, confirmed, daemons, entries } => {
                 self.fresh(fresh, confirmed);
                 self.0.view.set_daemons(daemons, entries);
             }
@@ -242,8 +242,8 @@
             Output::Limit { endpoint, limit, change, limited } => {
                 sight::limit_changed(&self.0.metrics, &endpoint, limit, change, limited);
             }
-            Output::Unusable { version, why } => log::error!(
-                event = EventId::ConfigUnusable.number(), config = version, cause = why;
+            Output::ConfigRejected { version, reason } => log::error!(
+                event = EventId::ConfigUnusable.number(), config = version, cause = reason;
                 "an accepted configuration cannot come into force here"
             ),
             // This daemon asks no endpoint for its load; the scheduler keeps its own account.
--- a/crates/server/src/runtime/placed.rs
+++ b/crates/server/src/runtime/placed.rs
@@ -50,7 +50,7 @@
 
     /// The endpoints that this daemon has drawn by itself, if no scheduler has granted the place.
     pub fn drawn(&self) -> &[SampledEndpoint] {
-        self.placement.as_ref().map_or(&[], |placement| &placement.drawn)
+        self.placement.as_ref().map_or(&[], |placement| &placement.sampled)
     }
 
     /// Tells how many tokens the request has produced.
@@ -86,7 +86,7 @@
         self.node.0.moves.borrow_mut().remove(&self.call);
         let (call, tokens, whole) = (self.call, self.tokens, self.whole);
         match &self.placement {
-            Some(_) => self.node.input(Input::Finished { call, tokens, whole }),
+            Some(_) => self.node.input(Input::Finished { call, tokens, complete: whole }),
             None => self.node.input(Input::Cancelled(call)),
         }
     }
--- a/crates/server/src/runtime/sight.rs
+++ b/crates/server/src/runtime/sight.rs
@@ -100,13 +100,13 @@
 
 /// Notes a change of the configuration, or a piece of it, that was sent.
 pub(super) fn change_sent(metrics: &Metrics, change: &SentChange) {
-    let how = if change.asked_by.is_some() { "asked" } else { "unasked" };
+    let how = if change.requested_by.is_some() { "asked" } else { "unasked" };
     metrics.change_sent(how, change.daemons, change.bytes);
-    if change.asked_by.is_none() || change.last {
+    if change.requested_by.is_none() || change.last {
         log::info!(
             event = EventId::ChangeSent.number(), config = change.change.version, base = change.change.base,
             bytes = change.bytes, daemons = change.daemons, how = how,
-            peer = change.asked_by.as_deref().unwrap_or("-");
+            peer = change.requested_by.as_deref().unwrap_or("-");
             "a change of the configuration was told or sent"
         );
     }
--- a/crates/server/src/runtime/trial.rs
+++ b/crates/server/src/runtime/trial.rs
@@ -36,7 +36,7 @@
     /// Notes that it has begun to answer well.
     pub(crate) fn begin(&mut self) {
         if !std::mem::replace(&mut self.begun, true) {
-            self.node.input(Input::TrialBegun(self.call));
+            self.node.input(Input::TrialStarted(self.call));
         }
     }
 
@@ -48,7 +48,7 @@
 
 impl Drop for Trial {
     fn drop(&mut self) {
-        self.node.input(Input::TrialOver { call: self.call, whole: self.whole });
+        self.node.input(Input::TrialEnded { call: self.call, complete: self.whole });
     }
 }
 
--- a/crates/trayswitchd/src/callers/call.rs
+++ b/crates/trayswitchd/src/callers/call.rs
@@ -279,7 +279,7 @@
         None => Err(EndpointError::NotSent("the endpoint was just removed".into())),
     };
     let whole = result.is_ok();
-    callers.node().input(Input::Finished { call, tokens: 0, whole });
+    callers.node().input(Input::Finished { call, tokens: 0, complete: whole });
     match (&result, address) {
         (Ok(_), _) => callers.answered_whole(&request.digest, &mut permit),
         (Err(error), Some(address)) => {
--- a/crates/trayswitchd/src/callers/context.rs
+++ b/crates/trayswitchd/src/callers/context.rs
@@ -193,7 +193,7 @@
         if limit.is_some() || self.node.view().has_limits() {
             let (endpoint, born) = (endpoint.clone(), UNKNOWN_RUN);
             let word = Word { endpoint, born, limit, asked, read: self.node.now() };
-            self.node.input(Input::LimitRead(word));
+            self.node.input(Input::RateLimitReported(word));
         }
     }
 
@@ -243,7 +243,7 @@
         match self.node.ask_as(call, NodeCall::Place(req), PLACE_LIMIT) {
             Ok(NodeReply::Placed(Ok(_))) if !self.node.view().fresh() => {
                 // The VM may have been suspended while the request waited.
-                self.node.input(Input::Finished { call, tokens: 0, whole: false });
+                self.node.input(Input::Finished { call, tokens: 0, complete: false });
                 Err(not_ready("no control VM has confirmed the configuration lately"))
             }
             Ok(NodeReply::Placed(placed)) => placed,
--- a/crates/trayswitchd/src/callers/permit.rs
+++ b/crates/trayswitchd/src/callers/permit.rs
@@ -54,7 +54,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         if let Some(call) = self.trial {
-            self.node.input(Input::TrialOver { call, whole: self.whole });
+            self.node.input(Input::TrialEnded { call, complete: self.whole });
         }
     }
 }
@@ -76,7 +76,7 @@
             Ok(NodeReply::Trial(TrialAnswer::Clear)) => Ok(Permit::free(node)),
             Ok(NodeReply::Trial(TrialAnswer::Quarantined)) => Err(quarantined()),
             _ => {
-                node.input(Input::TrialOver { call, whole: false });
+                node.input(Input::TrialEnded { call, complete: false });
                 Err(no_turn())
             }
         }
@@ -87,7 +87,7 @@
         if permit.trial.is_some() {
             permit.whole = true;
         } else if self.node().view().has_suspects() {
-            self.node().input(Input::AnsweredWhole(*request));
+            self.node().input(Input::AnswerCompleted(*request));
         }
     }
 
--- a/crates/trayswitchd/src/callers/run.rs
+++ b/crates/trayswitchd/src/callers/run.rs
@@ -112,7 +112,11 @@
             let end = self.attempt(&place, sink);
             let whole = matches!(end, End::Finished { .. });
             let tokens = self.delivery.delivered();
-            self.callers.node().input(Input::Finished { call: place.call, tokens, whole });
+            self.callers.node().input(Input::Finished {
+                call: place.call,
+                tokens,
+                complete: whole,
+            });
             match end {
                 End::Finished { reason } => {
                     self.callers.answered_whole(&self.chat.digest, &mut place.permit);
@@ -134,7 +138,7 @@
         let req = placement::Request { isolated: permit.is_apart(), ..self.chat.place.clone() };
         let placement = self.callers.place(call, req)?;
         let Some(address) = self.callers.address(&placement.endpoint) else {
-            self.callers.node().input(Input::Finished { call, tokens: 0, whole: false });
+            self.callers.node().input(Input::Finished { call, tokens: 0, complete: false });
             let message = "the endpoint was just removed";
             return Err(RequestError::new(ErrorKind::NoEndpoint, message));
         };
--- a/crates/trayswitchd/src/node/actor.rs
+++ b/crates/trayswitchd/src/node/actor.rs
@@ -138,7 +138,7 @@
                 }
             }
             Output::ConfigActivated(active_config) => self.config_activated(active_config),
-            Output::Fresh { fresh, confirmed, .. } => self.fresh(fresh, confirmed),
+            Output::ConfigFreshness { fresh, confirmed, .. } => self.fresh(fresh, confirmed),
             Output::Watch(endpoints) => self.view.set_watched(endpoints),
             Output::HallsOut(halls) => {
                 let (event, names) = (EventId::HallsOut, halls.names.join(", "));
@@ -160,16 +160,16 @@
                     None => log::info!("{event} {endpoint}: takes requests again"),
                 }
             }
-            Output::Unusable { version, why } => {
+            Output::ConfigRejected { version, reason } => {
                 let event = EventId::ConfigUnusable;
-                log::error!("{event} version {version} cannot come into force here: {why}");
+                log::error!("{event} version {version} cannot come into force here: {reason}");
             }
             // This daemon's control VMs are listed in its settings, its endpoints in the
             // configuration; it has no edge at which endpoints register themselves.
             Output::Leader { .. }
             | Output::Dial(_)
             | Output::Registered(_)
-            | Output::Remember(_)
+            | Output::SaveEndpoints(_)
             | Output::SentChange(_)
             | Output::Move { .. } => {}
         }
