--- a/crates/core/src/backoff/mod.rs
+++ b/crates/core/src/backoff/mod.rs
@@ -18,8 +18,8 @@
 mod table_tests;
 
 pub use self::{
-    refusals::Refusals,
+    refusals::RetrySpreader,
     rejection::Rejection,
-    retry_after::{BadRetryAfter, LONGEST_BACKOFF, RetryAfter},
-    table::{Admission, BackoffTable, OWN_DAEMON},
+    retry_after::{InvalidRetryAfter, MAX_BACKOFF, RetryAfter},
+    table::{Admission, BackoffTable, LOCAL_DAEMON},
 };
--- a/crates/core/src/backoff/refusals.rs
+++ b/crates/core/src/backoff/refusals.rs
@@ -14,17 +14,17 @@
 
 /// Callers that were refused shortly one after the other.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Refusals {
+pub struct RetrySpreader {
     count: u32,
     since: Instant,
 }
 
-impl Refusals {
+impl RetrySpreader {
     /// Counts one more; returns how much later than the first one it may come back to so many endpoints.
     pub fn add(&mut self, endpoints: usize, now: Instant) -> Duration {
         let per_second = RETURNS_PER_ENDPOINT * endpoints.max(1) as f64;
         if TOGETHER <= now.since(self.since) {
-            *self = Refusals { count: 0, since: now };
+            *self = RetrySpreader { count: 0, since: now };
         }
         let before = f64::from(self.count);
         self.count += 1;
--- a/crates/core/src/backoff/retry_after.rs
+++ b/crates/core/src/backoff/retry_after.rs
@@ -7,17 +7,17 @@
 
 /// Longest back-off that is believed. After it one request asks again, so that an endpoint which names years
 /// by mistake is not lost until it restarts.
-pub const LONGEST_BACKOFF: Duration = Duration::from_secs(300);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(300);
 
-/// How long an endpoint wants nothing from the daemon that it answers: [`LONGEST_BACKOFF`] at most.
+/// How long an endpoint wants nothing from the daemon that it answers: [`MAX_BACKOFF`] at most.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RetryAfter(Duration);
 
 /// Why a text is no [`RetryAfter`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BadRetryAfter {
+pub enum InvalidRetryAfter {
     /// It is neither a decimal number of seconds nor an HTTP date.
-    NotATime,
+    InvalidFormat,
     /// It is below zero.
     Negative,
     /// It is infinite or not a number.
@@ -29,7 +29,7 @@
 impl RetryAfter {
     /// This time, or the longest that is believed.
     pub fn new(time: Duration) -> RetryAfter {
-        RetryAfter(time.min(LONGEST_BACKOFF))
+        RetryAfter(time.min(MAX_BACKOFF))
     }
 
     /// The only value among these, if there is any: seconds, fractions included, or an HTTP date (RFC 9110,
@@ -39,10 +39,10 @@
         mut values: impl Iterator<Item = &'a str>,
         answered: Option<&str>,
         now: SystemTime,
-    ) -> Result<Option<RetryAfter>, BadRetryAfter> {
+    ) -> Result<Option<RetryAfter>, InvalidRetryAfter> {
         let Some(text) = values.next() else { return Ok(None) };
         if values.next().is_some() {
-            return Err(BadRetryAfter::Repeated);
+            return Err(InvalidRetryAfter::Repeated);
         }
         let text = text.trim();
         if let Ok(date) = httpdate::parse_http_date(text) {
@@ -50,7 +50,7 @@
             let left = date.duration_since(answered.unwrap_or(now));
             return Ok(Some(RetryAfter::new(left.unwrap_or_default())));
         }
-        from_seconds(text.parse().map_err(|_| BadRetryAfter::NotATime)?).map(Some)
+        from_seconds(text.parse().map_err(|_| InvalidRetryAfter::InvalidFormat)?).map(Some)
     }
 
     /// The time itself.
@@ -59,23 +59,25 @@
     }
 }
 
-fn from_seconds(seconds: f64) -> Result<RetryAfter, BadRetryAfter> {
+fn from_seconds(seconds: f64) -> Result<RetryAfter, InvalidRetryAfter> {
     if !seconds.is_finite() {
-        return Err(BadRetryAfter::NotFinite);
+        return Err(InvalidRetryAfter::NotFinite);
     }
     if seconds < 0.0 {
-        return Err(BadRetryAfter::Negative);
+        return Err(InvalidRetryAfter::Negative);
     }
-    Ok(RetryAfter::new(Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_BACKOFF)))
+    Ok(RetryAfter::new(Duration::try_from_secs_f64(seconds).unwrap_or(MAX_BACKOFF)))
 }
 
-impl fmt::Display for BadRetryAfter {
+impl fmt::Display for InvalidRetryAfter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            BadRetryAfter::NotATime => "it is neither a number of seconds nor an HTTP date",
-            BadRetryAfter::Negative => "it is below zero",
-            BadRetryAfter::NotFinite => "it is not finite",
-            BadRetryAfter::Repeated => "it is given more than once",
+            InvalidRetryAfter::InvalidFormat => {
+                "it is neither a number of seconds nor an HTTP date"
+            }
+            InvalidRetryAfter::Negative => "it is below zero",
+            InvalidRetryAfter::NotFinite => "it is not finite",
+            InvalidRetryAfter::Repeated => "it is given more than once",
         })
     }
 }
--- a/crates/core/src/backoff/retry_after_tests.rs
+++ b/crates/core/src/backoff/retry_after_tests.rs
@@ -4,19 +4,19 @@
 
 use googletest::prelude::*;
 
-use super::{BadRetryAfter, LONGEST_BACKOFF, RetryAfter};
+use super::{InvalidRetryAfter, MAX_BACKOFF, RetryAfter};
 
 /// Sunday, 6 November 1994, 08:49:37 UTC.
 const NOW: Duration = Duration::from_secs(784_111_777);
 
-fn read(values: &[&str]) -> std::result::Result<Option<Duration>, BadRetryAfter> {
+fn read(values: &[&str]) -> std::result::Result<Option<Duration>, InvalidRetryAfter> {
     read_answered(values, None)
 }
 
 fn read_answered(
     values: &[&str],
     answered: Option<&str>,
-) -> std::result::Result<Option<Duration>, BadRetryAfter> {
+) -> std::result::Result<Option<Duration>, InvalidRetryAfter> {
     let now = SystemTime::UNIX_EPOCH + NOW;
     let read = RetryAfter::read(values.iter().copied(), answered, now)?;
     Ok(read.map(RetryAfter::time))
@@ -44,18 +44,18 @@
 
 #[gtest]
 fn no_more_than_the_longest_back_off_is_believed() {
-    expect_that!(read(&["3600"]), ok(some(eq(LONGEST_BACKOFF))));
-    expect_that!(read(&["1e300"]), ok(some(eq(LONGEST_BACKOFF))));
-    expect_that!(read(&["Sat, 06 Nov 2094 08:49:37 GMT"]), ok(some(eq(LONGEST_BACKOFF))));
+    expect_that!(read(&["3600"]), ok(some(eq(MAX_BACKOFF))));
+    expect_that!(read(&["1e300"]), ok(some(eq(MAX_BACKOFF))));
+    expect_that!(read(&["Sat, 06 Nov 2094 08:49:37 GMT"]), ok(some(eq(MAX_BACKOFF))));
 }
 
 #[gtest]
 fn what_is_no_time_is_told_apart() {
-    expect_that!(read(&[""]), err(eq(BadRetryAfter::NotATime)));
-    expect_that!(read(&["soon"]), err(eq(BadRetryAfter::NotATime)));
-    expect_that!(read(&["-1"]), err(eq(BadRetryAfter::Negative)));
-    expect_that!(read(&["NaN"]), err(eq(BadRetryAfter::NotFinite)));
-    expect_that!(read(&["inf"]), err(eq(BadRetryAfter::NotFinite)));
-    expect_that!(read(&["1e999"]), err(eq(BadRetryAfter::NotFinite)));
-    expect_that!(read(&["3", "3"]), err(eq(BadRetryAfter::Repeated)));
+    expect_that!(read(&[""]), err(eq(InvalidRetryAfter::InvalidFormat)));
+    expect_that!(read(&["soon"]), err(eq(InvalidRetryAfter::InvalidFormat)));
+    expect_that!(read(&["-1"]), err(eq(InvalidRetryAfter::Negative)));
+    expect_that!(read(&["NaN"]), err(eq(InvalidRetryAfter::NotFinite)));
+    expect_that!(read(&["inf"]), err(eq(InvalidRetryAfter::NotFinite)));
+    expect_that!(read(&["1e999"]), err(eq(InvalidRetryAfter::NotFinite)));
+    expect_that!(read(&["3", "3"]), err(eq(InvalidRetryAfter::Repeated)));
 }
--- a/crates/core/src/backoff/table.rs
+++ b/crates/core/src/backoff/table.rs
@@ -17,7 +17,7 @@
 const WORTH_TELLING: Duration = Duration::from_millis(600);
 
 /// Number of the daemon itself in a table of its own.
-pub const OWN_DAEMON: u64 = 0;
+pub const LOCAL_DAEMON: u64 = 0;
 
 /// Whether an endpoint may be sent a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -16,7 +16,7 @@
     quarantine::{RequestDigest, Suspect},
     registry::Registered,
     state::{ChangeId, HallOrder, HallResult, HallsOut},
-    throttle::{Change, Permit, PermitRequest, RateLimit, Word},
+    throttle::{LimitChange, Permit, PermitRequest, RateLimit, RateLimitReport},
     units::Instant,
     wire::{AcceptedVersion, Body, EndpointRecord, HealthNews, Piece, Report, Submit, Update},
 };
@@ -186,7 +186,7 @@
         complete: bool,
     },
     /// An endpoint has said in an answer how much it takes, or names no limit any more.
-    RateLimitReported(Word),
+    RateLimitReported(RateLimitReport),
     /// An endpoint has rejected a request of this daemon.
     Rejected(Rejection),
     /// An endpoint has said in an answer that it will end.
@@ -360,7 +360,7 @@
         /// What it names.
         limit: Option<RateLimit>,
         /// What is new about it.
-        change: Change,
+        change: LimitChange,
         /// Number of endpoints that name one, as this daemon knows.
         limited: usize,
     },
--- a/crates/core/src/node/permit_allocator.rs
+++ b/crates/core/src/node/permit_allocator.rs
@@ -4,7 +4,7 @@
 
 use super::{Outbox, VmName, broadcast::Broadcast, permit_client::decode};
 use crate::{
-    throttle::{Change, Permit, PermitQueue, Throttle, Word},
+    throttle::{LimitChange, Permit, PermitQueue, RateLimitReport, Throttle},
     units::Instant,
     wire::{Body, LimitNews, LimitWord, PermitQuery, PermitReply},
 };
@@ -23,9 +23,14 @@
 
 impl PermitAllocator {
     /// Takes what an endpoint has said.
-    pub(super) fn apply_report(&mut self, word: Word, throttle: &mut Throttle, now: Instant) {
+    pub(super) fn apply_report(
+        &mut self,
+        word: RateLimitReport,
+        throttle: &mut Throttle,
+        now: Instant,
+    ) {
         let endpoint = word.endpoint.clone();
-        if throttle.learn(word, now) != Change::None {
+        if throttle.learn(word, now) != LimitChange::None {
             self.broadcast.add(&endpoint, now);
         }
     }
--- a/crates/core/src/node/permit_client.rs
+++ b/crates/core/src/node/permit_client.rs
@@ -5,7 +5,7 @@
 
 use super::{CallId, NodeReply, Outbox, Output, VmName, control_client::RemoteScheduler};
 use crate::{
-    throttle::{Change, Permit, PermitQueue, PermitRequest, Throttle, Word},
+    throttle::{LimitChange, Permit, PermitQueue, PermitRequest, RateLimitReport, Throttle},
     units::Instant,
     wire::{Body, LimitNews, LimitWord, PermitQuery, PermitReply},
 };
@@ -42,9 +42,14 @@
 
 impl PermitClient {
     /// Takes an endpoint's word that has come to this daemon; tells the leader if it is news.
-    pub(super) fn on_report(&mut self, word: Word, cx: &mut Context<'_>, out: &mut Outbox) {
+    pub(super) fn on_report(
+        &mut self,
+        word: RateLimitReport,
+        cx: &mut Context<'_>,
+        out: &mut Outbox,
+    ) {
         let endpoint = word.endpoint.clone();
-        if apply_report(word, cx, out) == Change::None {
+        if apply_report(word, cx, out) == LimitChange::None {
             return;
         }
         if let (Some(scheduler), Some(word)) = (cx.scheduler, cx.throttle.word(&endpoint)) {
@@ -152,10 +157,10 @@
 }
 
 /// Takes an endpoint's word into the daemon's own table.
-fn apply_report(word: Word, cx: &mut Context<'_>, out: &mut Outbox) -> Change {
+fn apply_report(word: RateLimitReport, cx: &mut Context<'_>, out: &mut Outbox) -> LimitChange {
     let endpoint = word.endpoint.clone();
     let change = cx.throttle.learn(word, cx.now);
-    if change != Change::None {
+    if change != LimitChange::None {
         let (limit, limited) = (cx.throttle.limit(&endpoint), cx.throttle.count());
         out.push(Output::Limit { endpoint, limit, change, limited });
     }
@@ -177,9 +182,10 @@
     from: &VmName,
     req: PermitQuery,
     now: Instant,
-) -> (PermitRequest<(VmName, u64)>, Vec<Word>) {
+) -> (PermitRequest<(VmName, u64)>, Vec<RateLimitReport>) {
     let max_wait = req.max_wait();
-    let words: Vec<Word> = req.endpoints.into_iter().filter_map(|word| word.decode(now)).collect();
+    let words: Vec<RateLimitReport> =
+        req.endpoints.into_iter().filter_map(|word| word.decode(now)).collect();
     let endpoints: Vec<Arc<str>> = words.iter().map(|word| word.endpoint.clone()).collect();
     let asker = (from.clone(), req.number);
     (PermitRequest { asker, service: req.service.into(), endpoints, max_wait }, words)
--- a/crates/core/src/node/placement_client/backoff.rs
+++ b/crates/core/src/node/placement_client/backoff.rs
@@ -4,7 +4,7 @@
 
 use super::PlacementClient;
 use crate::{
-    backoff::{OWN_DAEMON, Rejection},
+    backoff::{LOCAL_DAEMON, Rejection},
     node::{Outbox, Output, VmName, control_client::RemoteScheduler},
     units::Instant,
     wire::{Body, Overloaded, Rejected},
@@ -22,12 +22,12 @@
         now: Instant,
         out: &mut Outbox,
     ) {
-        self.local.on_rejection(OWN_DAEMON, rejection, now);
+        self.local.on_rejection(LOCAL_DAEMON, rejection, now);
         if let Some(scheduler) = scheduler {
             out.send(&scheduler.vm, Body::Rejected(Rejected::encode(rejection)));
         }
         let endpoint = &rejection.endpoint;
-        if self.local.backoffs.backs_off_until(endpoint, OWN_DAEMON, now).is_none() {
+        if self.local.backoffs.backs_off_until(endpoint, LOCAL_DAEMON, now).is_none() {
             return;
         }
         self.next_backoff_expiry = self.earliest_backoff_expiry(now);
@@ -46,7 +46,7 @@
 
     /// Tells a new leader which endpoints want nothing from this daemon.
     pub(super) fn send_backoffs(&self, scheduler: &VmName, now: Instant, out: &mut Outbox) {
-        for rejection in self.local.backoffs.asked(OWN_DAEMON, now).take(MAX_BACKOFFS_SENT) {
+        for rejection in self.local.backoffs.asked(LOCAL_DAEMON, now).take(MAX_BACKOFFS_SENT) {
             out.send(scheduler, Body::Rejected(Rejected::encode(&rejection)));
         }
     }
@@ -62,7 +62,7 @@
             return;
         }
         let backoffs = &self.local.backoffs;
-        let is_over = |name: &Arc<str>| backoffs.backs_off_until(name, OWN_DAEMON, now).is_none();
+        let is_over = |name: &Arc<str>| backoffs.backs_off_until(name, LOCAL_DAEMON, now).is_none();
         let ended: Vec<Arc<str>> =
             self.backing_off.iter().filter(|name| is_over(name)).cloned().collect();
         for endpoint in ended {
@@ -74,7 +74,7 @@
 
     fn publish_backoff(&self, endpoint: &Arc<str>, now: Instant, out: &mut Outbox) {
         let backoffs = &self.local.backoffs;
-        let until = backoffs.backs_off_until(endpoint, OWN_DAEMON, now);
+        let until = backoffs.backs_off_until(endpoint, LOCAL_DAEMON, now);
         out.push(Output::Backoff {
             endpoint: endpoint.clone(),
             left: until.map(|until| until.since(now)),
@@ -83,7 +83,7 @@
     }
 
     fn earliest_backoff_expiry(&self, now: Instant) -> Option<Instant> {
-        let asked = self.local.backoffs.asked(OWN_DAEMON, now);
+        let asked = self.local.backoffs.asked(LOCAL_DAEMON, now);
         asked.filter_map(|rejection| Some(now.after(rejection.retry_after?))).min()
     }
 }
--- a/crates/core/src/node/tests/limits.rs
+++ b/crates/core/src/node/tests/limits.rs
@@ -13,7 +13,7 @@
 };
 use crate::{
     node::{CallId, Input, Node, NodeCall, VmName},
-    throttle::{Permit, PermitRequest, RateLimit, Word},
+    throttle::{Permit, PermitRequest, RateLimit, RateLimitReport},
     units::Instant,
 };
 
@@ -131,7 +131,8 @@
 /// A daemon reads an answer of the endpoint.
 fn read(net: &mut Net, vm: &VmName, asked: Instant, limit: Option<f64>) {
     let limit = limit.map(|per_second| RateLimit::new(per_second).unwrap());
-    let word = Word { endpoint: ENDPOINT.into(), born: 0, limit, asked, read: net.time() };
+    let word =
+        RateLimitReport { endpoint: ENDPOINT.into(), born: 0, limit, asked, read: net.time() };
     net.handle(vm, Input::RateLimitReported(word));
 }
 
--- a/crates/core/src/placement/backoff.rs
+++ b/crates/core/src/placement/backoff.rs
@@ -10,7 +10,7 @@
     scheduler::Scheduler,
 };
 use crate::{
-    backoff::{Admission, OWN_DAEMON, Rejection},
+    backoff::{Admission, LOCAL_DAEMON, Rejection},
     config::EndpointTarget,
     error::RequestError,
     mechanism::Mechanism,
@@ -112,7 +112,7 @@
 
     /// The same for a request that a daemon sends by itself.
     pub(crate) fn local_admission(&self, endpoint: &str, now: Instant) -> Admission {
-        self.admission_of(endpoint, OWN_DAEMON, now)
+        self.admission_of(endpoint, LOCAL_DAEMON, now)
     }
 
     /// When to look again at a request if every endpoint that could be used takes none of its daemon: all have asked
--- a/crates/core/src/placement/scheduler.rs
+++ b/crates/core/src/placement/scheduler.rs
@@ -20,7 +20,7 @@
     target::Target,
 };
 use crate::{
-    backoff::{BackoffTable, Refusals},
+    backoff::{BackoffTable, RetrySpreader},
     config::EndpointTarget,
     error::{ErrorKind, RequestError},
     mechanism::{Disabled, Mechanism},
@@ -126,7 +126,7 @@
     pub(crate) backoffs: BackoffTable,
     /// Requests that wait until an endpoint takes requests of their daemon again.
     pub(super) held: Vec<Held>,
-    pub(super) refusals: Refusals,
+    pub(super) refusals: RetrySpreader,
     /// Random number of the daemon that places by itself; none for the scheduler of all daemons.
     pub(super) alone: Option<u64>,
     /// When it last decided.
@@ -156,7 +156,7 @@
             throttle: Throttle::new(SenderRole::Scheduler, 0),
             backoffs: BackoffTable::default(),
             held: Vec::new(),
-            refusals: Refusals::default(),
+            refusals: RetrySpreader::default(),
             alone: None,
             decided: Instant::default(),
             samples: 0,
--- a/crates/core/src/signals.rs
+++ b/crates/core/src/signals.rs
@@ -3,21 +3,21 @@
 use std::{fmt, time::Duration};
 
 use crate::{
-    backoff::{BadRetryAfter, RetryAfter},
-    throttle::{BadLimit, RateLimit, describe_limit},
+    backoff::{InvalidRetryAfter, RetryAfter},
+    throttle::{InvalidRateLimit, RateLimit, describe_limit},
 };
 
 /// What an endpoint says of itself in the head of an answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Signals {
     /// How many requests a second it takes from all daemons together.
-    pub limit: Result<Option<RateLimit>, BadLimit>,
+    pub limit: Result<Option<RateLimit>, InvalidRateLimit>,
     /// How long it wants nothing from this daemon, where it rejects a request.
-    pub retry_after: Result<Option<RetryAfter>, BadRetryAfter>,
+    pub retry_after: Result<Option<RetryAfter>, InvalidRetryAfter>,
     /// Whether it is about to end.
-    pub leaving: Result<bool, BadFlag>,
+    pub leaving: Result<bool, InvalidFlag>,
     /// For how much longer it is slow after its start.
-    pub cold_for: Result<Option<Duration>, BadMillis>,
+    pub cold_for: Result<Option<Duration>, InvalidMillis>,
 }
 
 impl Default for Signals {
@@ -28,19 +28,19 @@
 
 /// A flag that is neither `1` nor `0`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BadFlag;
+pub struct InvalidFlag;
 
 /// A text that is no whole number of milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BadMillis;
+pub struct InvalidMillis;
 
-impl fmt::Display for BadFlag {
+impl fmt::Display for InvalidFlag {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("it is neither 1 nor 0")
     }
 }
 
-impl fmt::Display for BadMillis {
+impl fmt::Display for InvalidMillis {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("it is no whole number of milliseconds")
     }
--- a/crates/core/src/throttle/limit_tests.rs
+++ b/crates/core/src/throttle/limit_tests.rs
@@ -4,9 +4,9 @@
 
 use googletest::prelude::*;
 
-use super::{BadLimit, RateLimit, limit::LONGEST_INTERVAL};
+use super::{InvalidRateLimit, RateLimit, limit::MAX_INTERVAL};
 
-fn read(text: &str) -> std::result::Result<f64, BadLimit> {
+fn read(text: &str) -> std::result::Result<f64, InvalidRateLimit> {
     text.parse::<RateLimit>().map(RateLimit::per_second)
 }
 
@@ -20,18 +20,18 @@
 
 #[gtest]
 fn what_is_no_limit_is_told_apart() {
-    expect_that!(read(""), err(eq(BadLimit::NoNumber)));
-    expect_that!(read("2,9"), err(eq(BadLimit::NoNumber)));
-    expect_that!(read("many"), err(eq(BadLimit::NoNumber)));
-    expect_that!(read("-1"), err(eq(BadLimit::Negative)));
-    expect_that!(read("NaN"), err(eq(BadLimit::NotFinite)));
-    expect_that!(read("inf"), err(eq(BadLimit::NotFinite)));
-    expect_that!(read("1e999"), err(eq(BadLimit::NotFinite)));
+    expect_that!(read(""), err(eq(InvalidRateLimit::NotANumber)));
+    expect_that!(read("2,9"), err(eq(InvalidRateLimit::NotANumber)));
+    expect_that!(read("many"), err(eq(InvalidRateLimit::NotANumber)));
+    expect_that!(read("-1"), err(eq(InvalidRateLimit::Negative)));
+    expect_that!(read("NaN"), err(eq(InvalidRateLimit::NotFinite)));
+    expect_that!(read("inf"), err(eq(InvalidRateLimit::NotFinite)));
+    expect_that!(read("1e999"), err(eq(InvalidRateLimit::NotFinite)));
 }
 
 #[gtest]
 fn of_two_none_holds() {
-    expect_that!(RateLimit::read(["3", "4"].into_iter()), err(eq(BadLimit::Several)));
+    expect_that!(RateLimit::read(["3", "4"].into_iter()), err(eq(InvalidRateLimit::Repeated)));
     expect_that!(RateLimit::read([].into_iter()), ok(none()));
 }
 
@@ -40,7 +40,7 @@
     let interval = |per_second| RateLimit::new(per_second).unwrap().interval();
 
     expect_that!(interval(4.0), eq(Duration::from_millis(250)));
-    expect_that!(interval(0.0), eq(LONGEST_INTERVAL));
-    expect_that!(interval(1e-300), eq(LONGEST_INTERVAL));
+    expect_that!(interval(0.0), eq(MAX_INTERVAL));
+    expect_that!(interval(1e-300), eq(MAX_INTERVAL));
     expect_that!(interval(1e300), eq(Duration::ZERO));
 }
--- a/crates/core/src/throttle/mod.rs
+++ b/crates/core/src/throttle/mod.rs
@@ -11,17 +11,17 @@
 mod queue;
 #[cfg(test)]
 mod queue_tests;
+mod report;
 mod table;
 #[cfg(test)]
 mod table_tests;
 mod turns;
 #[cfg(test)]
 mod turns_tests;
-mod word;
 
 pub use self::{
-    limit::{BadLimit, RateLimit, describe_limit},
+    limit::{InvalidRateLimit, RateLimit, describe_limit},
     queue::{Permit, PermitQueue, PermitRequest},
-    table::{Change, Throttle},
-    word::Word,
+    report::RateLimitReport,
+    table::{LimitChange, Throttle},
 };
--- a/crates/core/src/throttle/queue_tests.rs
+++ b/crates/core/src/throttle/queue_tests.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-use super::{Permit, PermitQueue, PermitRequest, RateLimit, Throttle, Word};
+use super::{Permit, PermitQueue, PermitRequest, RateLimit, RateLimitReport, Throttle};
 use crate::{placement::SenderRole, testing::fixed_seed, units::Instant};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -28,7 +28,7 @@
 fn name(throttle: &mut Throttle, endpoint: &str, per_second: f64, now: Instant) {
     let limit = Some(RateLimit::new(per_second).unwrap());
     let (endpoint, asked) = (endpoint.into(), Instant(now.0 - 1));
-    throttle.learn(Word { endpoint, born: 1, limit, asked, read: now }, now);
+    throttle.learn(RateLimitReport { endpoint, born: 1, limit, asked, read: now }, now);
 }
 
 fn ask(asker: u32, endpoints: &[&str], max_wait: Duration) -> PermitRequest<u32> {
--- a/crates/core/src/throttle/word.rs
+++ b/crates/core/src/throttle/report.rs
@@ -7,7 +7,7 @@
 
 /// What an endpoint said of how much it takes: true at some time between the request and its answer.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Word {
+pub struct RateLimitReport {
     /// Name of the endpoint.
     pub endpoint: Arc<str>,
     /// When its run was started, by its own word; zero where it has not said.
@@ -20,10 +20,10 @@
     pub read: Instant,
 }
 
-impl Word {
+impl RateLimitReport {
     /// Whether this holds in place of what another answer of the same run has said. Of two that may have been
     /// given in either order the lower limit holds, until a later answer says otherwise.
-    pub(super) fn replaces(&self, known: &Word) -> bool {
+    pub(super) fn replaces(&self, known: &RateLimitReport) -> bool {
         if self.born != known.born {
             return known.born < self.born;
         }
--- a/crates/core/src/throttle/table.rs
+++ b/crates/core/src/throttle/table.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use super::{RateLimit, Word, turns::Turns};
+use super::{RateLimit, RateLimitReport, turns::Turns};
 use crate::{
     placement::{RateSplit, SenderRole},
     units::Instant,
@@ -23,25 +23,25 @@
 
 /// What came of an endpoint's word.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Change {
+pub enum LimitChange {
     /// Nothing that others need to know.
     None,
     /// It names a limit for the first time.
-    Named,
+    Set,
     /// It names another one.
-    Other,
+    Updated,
     /// It names none any more.
     Lifted,
 }
 
-impl Change {
+impl LimitChange {
     /// Its name in log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Change::None => "none",
-            Change::Named => "named",
-            Change::Other => "other",
-            Change::Lifted => "lifted",
+            LimitChange::None => "none",
+            LimitChange::Set => "named",
+            LimitChange::Updated => "other",
+            LimitChange::Lifted => "lifted",
         }
     }
 }
@@ -49,7 +49,7 @@
 /// What is known of one endpoint.
 #[derive(Debug)]
 struct Known {
-    word: Word,
+    word: RateLimitReport,
     /// The limit that others were last told.
     told: Option<RateLimit>,
     turns: Turns,
@@ -86,27 +86,27 @@
     }
 
     /// The word of every endpoint that names one.
-    pub fn words(&self) -> impl Iterator<Item = &Word> {
+    pub fn words(&self) -> impl Iterator<Item = &RateLimitReport> {
         self.known.values().map(|known| &known.word).filter(|word| word.limit.is_some())
     }
 
     /// What was last heard of an endpoint that names a limit, or has done so lately.
-    pub fn word(&self, endpoint: &str) -> Option<&Word> {
+    pub fn word(&self, endpoint: &str) -> Option<&RateLimitReport> {
         self.known.get(endpoint).map(|known| &known.word)
     }
 
     /// Takes an endpoint's word.
-    pub fn learn(&mut self, word: Word, now: Instant) -> Change {
+    pub fn learn(&mut self, word: RateLimitReport, now: Instant) -> LimitChange {
         let Some(known) = self.known.get_mut(&word.endpoint) else {
-            let Some(limit) = word.limit else { return Change::None };
+            let Some(limit) = word.limit else { return LimitChange::None };
             let interval = self.senders.interval(limit.interval(), PARTS);
             let turns = Turns::new(interval, self.senders.has_peers(), self.phase(&word), now);
             let known = Known { told: word.limit, turns, word };
             self.known.insert(known.word.endpoint.clone(), known);
-            return Change::Named;
+            return LimitChange::Set;
         };
         if !word.replaces(&known.word) {
-            return Change::None;
+            return LimitChange::None;
         }
         if let Some(limit) = word.limit {
             let interval = self.senders.interval(limit.interval(), PARTS);
@@ -114,13 +114,13 @@
         }
         known.word = word;
         let change = match (known.told, known.word.limit) {
-            (None, None) => Change::None,
-            (None, Some(_)) => Change::Named,
-            (Some(_), None) => Change::Lifted,
-            (Some(told), Some(limit)) if is_news(told, limit) => Change::Other,
-            (Some(_), Some(_)) => Change::None,
+            (None, None) => LimitChange::None,
+            (None, Some(_)) => LimitChange::Set,
+            (Some(_), None) => LimitChange::Lifted,
+            (Some(told), Some(limit)) if is_news(told, limit) => LimitChange::Updated,
+            (Some(_), Some(_)) => LimitChange::None,
         };
-        if change != Change::None {
+        if change != LimitChange::None {
             known.told = known.word.limit;
         }
         change
@@ -140,7 +140,7 @@
     }
 
     /// Forgets the word of endpoints that are not there any more, and of those that have named no limit for long.
-    pub fn retain(&mut self, is_there: impl Fn(&Word) -> bool, now: Instant) {
+    pub fn retain(&mut self, is_there: impl Fn(&RateLimitReport) -> bool, now: Instant) {
         self.known.retain(|_, Known { word, .. }| {
             let is_old = LIFTED_LIFE < now.since(word.read);
             is_there(word) && (word.limit.is_some() || !is_old)
@@ -177,7 +177,7 @@
     /// The part of the time between two requests after which the first one is due. A scheduler waits for all of
     /// it, since daemons have just sent what they did not know of; daemons draw one each, so that together they
     /// send evenly.
-    fn phase(&self, word: &Word) -> f64 {
+    fn phase(&self, word: &RateLimitReport) -> f64 {
         if !self.senders.has_peers() {
             return 1.0;
         }
--- a/crates/core/src/throttle/table_tests.rs
+++ b/crates/core/src/throttle/table_tests.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 
-use super::{Change, RateLimit, Throttle, Word};
+use super::{LimitChange, RateLimit, RateLimitReport, Throttle};
 use crate::{placement::SenderRole, units::Instant};
 
 fn ms(millis: u64) -> Instant {
@@ -16,8 +16,8 @@
 }
 
 /// An answer to a request that was sent at one time and answered at another.
-fn word(per_second: Option<f64>, asked: u64, read: u64) -> Word {
-    Word {
+fn word(per_second: Option<f64>, asked: u64, read: u64) -> RateLimitReport {
+    RateLimitReport {
         endpoint: "e".into(),
         born: 1,
         limit: per_second.map(limit),
@@ -31,7 +31,7 @@
 }
 
 /// One that has learnt these answers in turn.
-fn that_has_heard(words: impl IntoIterator<Item = Word>) -> Throttle {
+fn that_has_heard(words: impl IntoIterator<Item = RateLimitReport>) -> Throttle {
     let mut throttle = scheduler();
     for word in words {
         let read = word.read;
@@ -44,7 +44,7 @@
 fn an_endpoint_without_a_limit_takes_all() {
     let mut throttle = scheduler();
 
-    expect_that!(throttle.learn(word(None, 0, 10), ms(10)), eq(Change::None));
+    expect_that!(throttle.learn(word(None, 0, 10), ms(10)), eq(LimitChange::None));
 
     expect_true!(throttle.is_empty());
     expect_true!(throttle.takes("e", ms(10)));
@@ -62,7 +62,7 @@
 fn an_answer_without_a_limit_lifts_it() {
     let mut throttle = that_has_heard([word(Some(2.0), 0, 10)]);
 
-    expect_that!(throttle.learn(word(None, 10, 20), ms(20)), eq(Change::Lifted));
+    expect_that!(throttle.learn(word(None, 10, 20), ms(20)), eq(LimitChange::Lifted));
 
     expect_that!(throttle.limit("e"), none());
     expect_true!(throttle.takes("e", ms(20)));
@@ -101,7 +101,7 @@
 
 #[gtest]
 fn a_later_run_says_what_holds_and_a_former_one_nothing() {
-    let later = |per_second| Word { born: 2, ..word(per_second, 0, 5) };
+    let later = |per_second| RateLimitReport { born: 2, ..word(per_second, 0, 5) };
 
     let replaced = that_has_heard([word(Some(2.0), 0, 10), later(None)]);
     let kept = that_has_heard([later(Some(3.0)), word(None, 20, 30)]);
@@ -115,10 +115,10 @@
     let mut throttle = that_has_heard([word(Some(10.0), 0, 10)]);
     let mut learn = |per_second, at| throttle.learn(word(Some(per_second), at, at + 1), ms(at));
 
-    expect_that!(learn(10.5, 20), eq(Change::None));
-    expect_that!(learn(9.6, 30), eq(Change::None));
-    expect_that!(learn(7.0, 40), eq(Change::Other));
-    expect_that!(learn(7.3, 50), eq(Change::None));
+    expect_that!(learn(10.5, 20), eq(LimitChange::None));
+    expect_that!(learn(9.6, 30), eq(LimitChange::None));
+    expect_that!(learn(7.0, 40), eq(LimitChange::Updated));
+    expect_that!(learn(7.3, 50), eq(LimitChange::None));
     expect_that!(throttle.limit("e"), some(eq(limit(7.3))));
 }
 
--- a/crates/core/src/wire/throttle.rs
+++ b/crates/core/src/wire/throttle.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::{
-    throttle::{RateLimit, Word},
+    throttle::{RateLimit, RateLimitReport},
     units::Instant,
 };
 
@@ -32,7 +32,7 @@
 
 impl LimitWord {
     /// What is known now, by the sender's clock.
-    pub(crate) fn encode(word: &Word, now: Instant) -> LimitWord {
+    pub(crate) fn encode(word: &RateLimitReport, now: Instant) -> LimitWord {
         let ago_us = |at: Instant| now.since(at).as_micros() as u64;
         LimitWord {
             endpoint: word.endpoint.to_string(),
@@ -44,13 +44,13 @@
     }
 
     /// The same by the receiver's clock; nothing if it makes no sense.
-    pub(crate) fn decode(self, now: Instant) -> Option<Word> {
+    pub(crate) fn decode(self, now: Instant) -> Option<RateLimitReport> {
         let at = |ago_us: u64| Instant(now.0.saturating_sub(ago_us));
         let limit = match self.per_million_s {
             Some(rate) => Some(RateLimit::new(rate as f64 / MILLION).ok()?),
             None => None,
         };
-        Some(Word {
+        Some(RateLimitReport {
             endpoint: self.endpoint.into(),
             born: self.born,
             limit,
--- a/crates/lab/src/backoff/ways.rs
+++ b/crates/lab/src/backoff/ways.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 use trayswitch_core::{
-    backoff::{Admission, BackoffTable, OWN_DAEMON, Rejection},
+    backoff::{Admission, BackoffTable, LOCAL_DAEMON, Rejection},
     units::Instant,
 };
 
@@ -64,7 +64,7 @@
     ) -> [Vec<usize>; 2] {
         let mut groups = [Vec::new(), Vec::new()];
         for endpoint in (0..self.names.len()).filter(|endpoint| !tried.contains(endpoint)) {
-            let own = self.tables[daemon].admission(&self.names[endpoint], OWN_DAEMON, now);
+            let own = self.tables[daemon].admission(&self.names[endpoint], LOCAL_DAEMON, now);
             let group = match (self.way, own) {
                 (Way::Request, _) => 0,
                 (_, Admission::BackedOff(_)) => continue,
@@ -104,7 +104,7 @@
             started_at: 0,
             retry_after: Some(retry_after),
         };
-        self.tables[daemon].on_rejection(OWN_DAEMON, &rejection, now);
+        self.tables[daemon].on_rejection(LOCAL_DAEMON, &rejection, now);
         let (at, until) = (now.after(TOLD_AFTER), now.after(retry_after));
         self.told.push_back(Told { at, endpoint, until });
     }
--- a/crates/lab/src/limits/ways.rs
+++ b/crates/lab/src/limits/ways.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use trayswitch_core::{
     placement::SenderRole,
-    throttle::{Permit, PermitQueue, PermitRequest, RateLimit, Throttle, Word},
+    throttle::{Permit, PermitQueue, PermitRequest, RateLimit, RateLimitReport, Throttle},
     units::Instant,
 };
 
@@ -169,7 +169,13 @@
     }
 }
 
-fn word(endpoint: &Arc<str>) -> Word {
+fn word(endpoint: &Arc<str>) -> RateLimitReport {
     let limit = RateLimit::new(LIMIT).ok();
-    Word { endpoint: endpoint.clone(), born: 0, limit, asked: Instant(0), read: Instant(1) }
+    RateLimitReport {
+        endpoint: endpoint.clone(),
+        born: 0,
+        limit,
+        asked: Instant(0),
+        read: Instant(1),
+    }
 }
--- a/crates/server/src/relay/backoff.rs
+++ b/crates/server/src/relay/backoff.rs
@@ -127,8 +127,7 @@
         let endpoints = self.node.view().open_endpoints(&job.service).len();
         let mut refusals = self.refusals.borrow_mut();
         let refusals = refusals.entry(job.service.clone()).or_default();
-        let wait =
-            wait.min(trayswitch_core::backoff::LONGEST_BACKOFF) + refusals.add(endpoints, now);
+        let wait = wait.min(trayswitch_core::backoff::MAX_BACKOFF) + refusals.add(endpoints, now);
         let message = format!(
             "all endpoints of {} have asked this daemon to back off; retry after {} ms",
             job.service,
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -37,7 +37,7 @@
 use tokio::sync::Semaphore;
 use trayswitch_clock::Instant;
 use trayswitch_core::{
-    backoff::Refusals,
+    backoff::RetrySpreader,
     error::{ErrorKind, RequestError},
     mechanism::{Disabled, Mechanism},
     placement::SenderRole,
@@ -117,7 +117,7 @@
     /// Endpoints that are watched since an attempt there broke off.
     watch_permits: Arc<Semaphore>,
     /// Calls that were refused shortly one after the other, by service.
-    refusals: RefCell<HashMap<String, Refusals>>,
+    refusals: RefCell<HashMap<String, RetrySpreader>>,
     metrics: Rc<Metrics>,
 }
 
--- a/crates/server/src/relay/rate_limit.rs
+++ b/crates/server/src/relay/rate_limit.rs
@@ -8,7 +8,7 @@
     node::Input,
     registry::Registered,
     signals::Signals,
-    throttle::{Permit, Word, describe_limit},
+    throttle::{Permit, RateLimitReport, describe_limit},
     units,
 };
 
@@ -53,7 +53,7 @@
             self.metrics.limit_read(service, "named");
         }
         if limit.is_some() || self.node.limit(&endpoint.id).is_some() {
-            let word = Word {
+            let word = RateLimitReport {
                 endpoint: endpoint.id.clone(),
                 born: endpoint.born,
                 limit,
--- a/crates/server/src/runtime/sight.rs
+++ b/crates/server/src/runtime/sight.rs
@@ -5,7 +5,7 @@
 use trayswitch_core::{
     node::{SentChange, VmName},
     quarantine::{Standing, Suspect},
-    throttle::{Change, RateLimit, describe_limit},
+    throttle::{LimitChange, RateLimit, describe_limit},
 };
 
 use crate::telemetry::{EventId, Metrics};
@@ -61,7 +61,7 @@
     metrics: &Metrics,
     endpoint: &str,
     limit: Option<RateLimit>,
-    change: Change,
+    change: LimitChange,
     limited: usize,
 ) {
     metrics.limited_endpoints(limited);
--- a/crates/trayswitchd/src/callers/context.rs
+++ b/crates/trayswitchd/src/callers/context.rs
@@ -21,7 +21,7 @@
     placement,
     quarantine::{DigestKey, RequestDigest, RequestIdentity},
     signals::Signals,
-    throttle::{RateLimit, Word},
+    throttle::{RateLimit, RateLimitReport},
     units,
     wire::HealthNews,
 };
@@ -192,7 +192,7 @@
     fn note_limit(&self, endpoint: &Arc<str>, asked: units::Instant, limit: Option<RateLimit>) {
         if limit.is_some() || self.node.view().has_limits() {
             let (endpoint, born) = (endpoint.clone(), UNKNOWN_RUN);
-            let word = Word { endpoint, born, limit, asked, read: self.node.now() };
+            let word = RateLimitReport { endpoint, born, limit, asked, read: self.node.now() };
             self.node.input(Input::RateLimitReported(word));
         }
     }
--- a/crates/trayswitchd/src/endpoint/tests.rs
+++ b/crates/trayswitchd/src/endpoint/tests.rs
@@ -10,7 +10,7 @@
 use googletest::prelude::*;
 use trayswitch_core::{
     delivery::Frame,
-    throttle::{BadLimit, RateLimit},
+    throttle::{InvalidRateLimit, RateLimit},
 };
 use trayswitch_http::Event;
 
@@ -137,7 +137,7 @@
     expect_that!(answered, eq(named));
     expect_that!(refused, eq(named));
     expect_that!(unnamed, some(ok(none())));
-    expect_that!(bad, some(err(eq(BadLimit::NoNumber))));
+    expect_that!(bad, some(err(eq(InvalidRateLimit::NotANumber))));
     expect_that!(lost, none());
 }
 
