--- a/crates/core/src/placement/engine_choice.rs
+++ b/crates/core/src/placement/engine_choice.rs
@@ -59,7 +59,7 @@
     }
 
     /// Whether it must be asked for a place before a prompt of this length is sent there.
-    pub fn is_tight(&self, prompt_tokens: u64) -> bool {
+    pub fn needs_reservation(&self, prompt_tokens: u64) -> bool {
         TIGHT < self.fullness(prompt_tokens)
     }
 
--- a/crates/core/src/placement/engine_choice_tests.rs
+++ b/crates/core/src/placement/engine_choice_tests.rs
@@ -121,9 +121,9 @@
 
 #[gtest]
 fn a_place_is_asked_for_where_memory_may_be_short() {
-    let is_tight = |used| load(0, used).unwrap().is_tight(3_000);
+    let needs_reservation = |used| load(0, used).unwrap().needs_reservation(3_000);
 
-    expect_that!((is_tight(10_000), is_tight(25_000)), eq((false, true)));
+    expect_that!((needs_reservation(10_000), needs_reservation(25_000)), eq((false, true)));
 }
 
 #[gtest]
--- a/crates/server/src/relay/local_placement.rs
+++ b/crates/server/src/relay/local_placement.rs
@@ -57,7 +57,7 @@
     sort_by_cost(&mut candidates, prompt_tokens);
     for (SampledEndpoint { endpoint, .. }, load) in &candidates {
         let reply = match load {
-            Some(load) if !load.is_tight(prompt_tokens) => ReservationReply::NotRequired,
+            Some(load) if !load.needs_reservation(prompt_tokens) => ReservationReply::NotRequired,
             _ => {
                 reserve(relay, job, endpoint, prompt_tokens.saturating_add(INITIAL_OUTPUT_TOKENS))
                     .await
