--- a/crates/core/src/placement/apart.rs
+++ b/crates/core/src/placement/apart.rs
@@ -6,7 +6,9 @@
 
 use std::{collections::HashMap, sync::Arc};
 
-use super::{Action, Request, Ticket, endpoint::EndpointState, policy::Work, scheduler::Scheduler};
+use super::{
+    Action, Request, Ticket, endpoint::EndpointState, policy::Demand, scheduler::Scheduler,
+};
 use crate::units::Instant;
 
 /// Tokens after which a request has begun well: eight events of four tokens. Engines that ended under
@@ -115,10 +117,10 @@
         let Some(state) = self.endpoints.get(endpoint) else { return false };
         let waiting = &self.apart.waiting[at];
         let req = &waiting.req;
-        let mut work = Work::new(req, self.forecast.survival(&req.workspace, &req.kind));
-        work.ttft_target = req.ttft_target.saturating_sub(now.since(waiting.arrived));
+        let mut demand = Demand::new(req, self.forecast.distribution(&req.workspace, &req.kind));
+        demand.ttft_target = req.ttft_target.saturating_sub(now.since(waiting.arrived));
         let is_alone = state.kept_for.is_none() || state.reading.unread() == 0;
-        is_alone && self.policy.choose(&work, &[state], now).is_some()
+        is_alone && self.policy.choose(&demand, &[state], now).is_some()
     }
 
     /// Notes the tokens of a request: once it has begun well, its engine takes others again.
--- a/crates/core/src/placement/backoff.rs
+++ b/crates/core/src/placement/backoff.rs
@@ -6,7 +6,7 @@
     Action, Request, Ticket,
     endpoint::EndpointState,
     giving_up::overloaded,
-    policy::{Policy, Work},
+    policy::{Demand, Policy},
     scheduler::Scheduler,
 };
 use crate::{
@@ -63,14 +63,14 @@
     /// The best one with room.
     pub(super) fn choose(
         &self,
-        work: &Work,
+        demand: &Demand,
         policy: &mut dyn Policy,
         now: Instant,
     ) -> Option<Arc<str>> {
         let is_last = self.open.is_empty() && self.last_resort.is_empty();
         let avoided = if is_last { &self.avoided[..] } else { &[] };
         let mut groups = [&self.open[..], &self.last_resort, avoided].into_iter();
-        groups.find_map(|group| Some(group[policy.choose(work, group, now)?].name.clone()))
+        groups.find_map(|group| Some(group[policy.choose(demand, group, now)?].name.clone()))
     }
 }
 
--- a/crates/core/src/placement/endpoint.rs
+++ b/crates/core/src/placement/endpoint.rs
@@ -9,7 +9,7 @@
 use super::{
     PrefixHash, SenderRole, Ticket,
     cold_start::{ColdPacer, cold_interval},
-    forecast::{HORIZONS, Survival},
+    forecast::{HORIZONS, LengthDistribution},
     pace::Pace,
     reading::Reading,
 };
@@ -49,39 +49,39 @@
 
 /// Forecast of one stream's memory at each horizon.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Share {
+pub(crate) struct MemoryDemand {
     pub(crate) mean: [f64; HORIZONS.len()],
     pub(crate) variance: [f64; HORIZONS.len()],
     /// Memory in use now, in tokens.
     pub(crate) used: f64,
     /// What the whole answer is expected to be worth, in tokens read; see [`worth`].
-    pub(crate) worth: f64,
+    pub(crate) value: f64,
 }
 
-impl Share {
+impl MemoryDemand {
     /// The forecast for a stream with `prompt + so_far` tokens in memory.
     pub(crate) fn forecast(
-        survival: &Survival,
+        distribution: &LengthDistribution,
         prompt: u64,
         so_far: u64,
         max_tokens: u64,
-    ) -> Share {
-        let mut share = Share { used: (prompt + so_far) as f64, ..Share::default() };
+    ) -> MemoryDemand {
+        let mut memory = MemoryDemand { used: (prompt + so_far) as f64, ..MemoryDemand::default() };
         for (i, ahead) in HORIZONS.iter().copied().enumerate() {
             if max_tokens <= so_far + ahead {
                 continue;
             }
-            let chance = survival.chance_beyond(so_far, ahead);
+            let chance = distribution.probability_beyond(so_far, ahead);
             let size = (prompt + so_far + ahead) as f64;
-            share.mean[i] = chance * size;
-            share.variance[i] = chance * (1.0 - chance) * size * size;
+            memory.mean[i] = chance * size;
+            memory.variance[i] = chance * (1.0 - chance) * size * size;
         }
-        share
+        memory
     }
 
-    fn add(&mut self, other: &Share, sign: f64) {
+    fn add(&mut self, other: &MemoryDemand, sign: f64) {
         self.used += sign * other.used;
-        self.worth += sign * other.worth;
+        self.value += sign * other.value;
         for i in 0..HORIZONS.len() {
             self.mean[i] += sign * other.mean[i];
             self.variance[i] += sign * other.variance[i];
@@ -114,7 +114,7 @@
     cold: Option<ColdPacer>,
     /// Requests granted and not yet finished.
     pub(crate) running: u64,
-    pub(crate) total: Share,
+    pub(crate) total: MemoryDemand,
     pub(crate) report: LoadReport,
     /// Grants and releases since the last report was true.
     since_report: VecDeque<Change>,
@@ -139,7 +139,7 @@
             out: false,
             cold: None,
             running: 0,
-            total: Share::default(),
+            total: MemoryDemand::default(),
             report: LoadReport::default(),
             since_report: VecDeque::new(),
             prefixes: HashMap::new(),
@@ -291,24 +291,24 @@
         }
     }
 
-    pub(crate) fn grant(&mut self, share: &Share, now: Instant) {
+    pub(crate) fn grant(&mut self, memory: &MemoryDemand, now: Instant) {
         self.running += 1;
         self.note(Change { at: now, delta: 1 });
-        self.total.add(share, 1.0);
+        self.total.add(memory, 1.0);
     }
 
-    pub(crate) fn update(&mut self, old: &Share, new: &Share) {
+    pub(crate) fn update(&mut self, old: &MemoryDemand, new: &MemoryDemand) {
         self.total.add(old, -1.0);
         self.total.add(new, 1.0);
     }
 
-    pub(crate) fn release(&mut self, share: &Share, now: Instant) {
+    pub(crate) fn release(&mut self, memory: &MemoryDemand, now: Instant) {
         self.running -= 1;
         self.note(Change { at: now, delta: -1 });
-        self.total.add(share, -1.0);
+        self.total.add(memory, -1.0);
         if self.running == 0 {
             // Drop what rounding left behind.
-            self.total = Share::default();
+            self.total = MemoryDemand::default();
         }
     }
 
--- a/crates/core/src/placement/evacuation.rs
+++ b/crates/core/src/placement/evacuation.rs
@@ -13,7 +13,7 @@
 use super::{
     Scheduler, Ticket,
     endpoint::{EndpointState, Health},
-    forecast::worth,
+    forecast::generation_value,
     scheduler::Placed,
 };
 use crate::{backoff::Admission, mechanism::Mechanism, units::Instant};
@@ -204,12 +204,12 @@
             return 0.0;
         }
         let req = &placed.req;
-        let survival = self.forecast.survival(&req.workspace, &req.kind);
-        let left = survival.expected_beyond(placed.tokens, req.max_tokens);
-        let worth = worth(req.prompt_tokens, placed.tokens as f64 + left);
-        let outlives = survival.chance_beyond(placed.tokens, TOKENS_OF_NOTICE);
+        let distribution = self.forecast.distribution(&req.workspace, &req.kind);
+        let left = distribution.expected_remaining(placed.tokens, req.max_tokens);
+        let value = generation_value(req.prompt_tokens, placed.tokens as f64 + left);
+        let outlives = distribution.probability_beyond(placed.tokens, TOKENS_OF_NOTICE);
         let copied = req.prompt_tokens + placed.tokens + TOKENS_OF_OVERHEAD;
-        worth * outlives / copied as f64
+        value * outlives / copied as f64
     }
 
     /// Where a generation can go on. A copy to another data hall takes twice as long, so an
@@ -221,7 +221,7 @@
         now: Instant,
     ) -> Option<Arc<str>> {
         let placed = self.placed.get(&ticket)?;
-        let (req, work) = (&placed.req, self.rest_of(placed));
+        let (req, demand) = (&placed.req, self.rest_of(placed));
         let hall = self.endpoints.get(source).map(|state| &state.spec.hall);
         let tries = self.evacuation.tries.get(&ticket);
         let disabled = self.limits.disabled;
@@ -251,7 +251,7 @@
                 .filter(|state| is_near(state) || !by_near)
                 .filter(|state| refused(&state.name) == by_refused)
                 .collect();
-            if let Some(at) = self.policy.choose(&work, &group, now) {
+            if let Some(at) = self.policy.choose(&demand, &group, now) {
                 return Some(group[at].name.clone());
             }
         }
--- a/crates/core/src/placement/forecast.rs
+++ b/crates/core/src/placement/forecast.rs
@@ -13,17 +13,17 @@
 /// Weight of the prior that lengths are spread evenly over octaves.
 const PRIOR_COUNT: f64 = 0.05;
 /// Counts are halved at this sum, so that old lengths fade.
-const FADE_AT: f64 = 4_000.0;
+const DECAY_THRESHOLD: f64 = 4_000.0;
 /// A workspace's own lengths are used from this many on.
-const OWN_FROM: f64 = 50.0;
+const MIN_CLASS_SAMPLES: f64 = 50.0;
 
 /// Tokens out weigh this much against tokens of the prompt when the users count the worth of
 /// a generation.
-const WEIGHT_OF_OUTPUT: f64 = 10.0;
+const OUTPUT_TOKEN_WEIGHT: f64 = 10.0;
 
 /// What a generation of this size is worth, in tokens of a prompt.
-pub(crate) fn worth(prompt_tokens: u64, output: f64) -> f64 {
-    prompt_tokens as f64 + WEIGHT_OF_OUTPUT * output
+pub(crate) fn generation_value(prompt_tokens: u64, output: f64) -> f64 {
+    prompt_tokens as f64 + OUTPUT_TOKEN_WEIGHT * output
 }
 
 fn bucket(tokens: u64) -> usize {
@@ -39,50 +39,51 @@
 
 /// The distribution of one class of lengths.
 #[derive(Debug, Clone)]
-pub struct Survival {
+pub struct LengthDistribution {
     counts: [f64; BUCKETS],
     /// Sum of the counts of each bucket and all above it.
     above: [f64; BUCKETS + 1],
 }
 
-impl Default for Survival {
-    fn default() -> Survival {
-        let mut survival = Survival { counts: [PRIOR_COUNT; BUCKETS], above: [0.0; BUCKETS + 1] };
-        survival.sum();
-        survival
+impl Default for LengthDistribution {
+    fn default() -> LengthDistribution {
+        let mut distribution =
+            LengthDistribution { counts: [PRIOR_COUNT; BUCKETS], above: [0.0; BUCKETS + 1] };
+        distribution.recompute_sums();
+        distribution
     }
 }
 
-impl Survival {
+impl LengthDistribution {
     /// Number of lengths seen, faded.
     pub fn weight(&self) -> f64 {
         self.above[0]
     }
 
     /// Counts one finished answer.
-    pub fn learn(&mut self, tokens: u64) {
+    pub fn record(&mut self, tokens: u64) {
         let bucket = bucket(tokens);
         self.counts[bucket] += 1.0;
         for above in &mut self.above[..=bucket] {
             *above += 1.0;
         }
-        if FADE_AT <= self.weight() {
+        if DECAY_THRESHOLD <= self.weight() {
             for count in &mut self.counts {
                 *count /= 2.0;
             }
-            self.sum();
+            self.recompute_sums();
         }
     }
 
     /// Chance that an answer with `so_far` tokens goes on beyond `so_far + ahead`.
-    pub fn chance_beyond(&self, so_far: u64, ahead: u64) -> f64 {
+    pub fn probability_beyond(&self, so_far: u64, ahead: u64) -> f64 {
         let here = self.at_least(so_far);
         if here <= 0.0 { 0.0 } else { (self.at_least(so_far + ahead) / here).min(1.0) }
     }
 
     /// Tokens that an answer with `so_far` tokens is expected to bring yet, if it ends with
     /// `most` at the latest.
-    pub(crate) fn expected_beyond(&self, so_far: u64, most: u64) -> f64 {
+    pub(crate) fn expected_remaining(&self, so_far: u64, most: u64) -> f64 {
         let here = self.at_least(so_far);
         if here <= 0.0 {
             return 0.0;
@@ -105,7 +106,7 @@
         self.above[bucket] - self.counts[bucket] * part
     }
 
-    fn sum(&mut self) {
+    fn recompute_sums(&mut self) {
         for i in (0..BUCKETS).rev() {
             self.above[i] = self.above[i + 1] + self.counts[i];
         }
@@ -114,7 +115,7 @@
 
 /// The key of a workspace's own distribution.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Class {
+struct LengthClass {
     workspace: Arc<str>,
     kind: Arc<str>,
 }
@@ -122,25 +123,25 @@
 /// Distributions by kind, and by workspace and kind once enough is known.
 #[derive(Debug, Default)]
 pub struct LengthForecast {
-    by_kind: HashMap<Arc<str>, Survival>,
-    by_class: HashMap<Class, Survival>,
-    unknown: Survival,
+    by_kind: HashMap<Arc<str>, LengthDistribution>,
+    by_class: HashMap<LengthClass, LengthDistribution>,
+    prior: LengthDistribution,
 }
 
 impl LengthForecast {
     /// Counts one finished answer.
-    pub fn learn(&mut self, workspace: &Arc<str>, kind: &Arc<str>, tokens: u64) {
-        self.by_kind.entry(kind.clone()).or_default().learn(tokens);
-        let class = Class { workspace: workspace.clone(), kind: kind.clone() };
-        self.by_class.entry(class).or_default().learn(tokens);
+    pub fn record(&mut self, workspace: &Arc<str>, kind: &Arc<str>, tokens: u64) {
+        self.by_kind.entry(kind.clone()).or_default().record(tokens);
+        let class = LengthClass { workspace: workspace.clone(), kind: kind.clone() };
+        self.by_class.entry(class).or_default().record(tokens);
     }
 
     /// The best known distribution for a request.
-    pub fn survival(&self, workspace: &Arc<str>, kind: &Arc<str>) -> &Survival {
-        let class = Class { workspace: workspace.clone(), kind: kind.clone() };
+    pub fn distribution(&self, workspace: &Arc<str>, kind: &Arc<str>) -> &LengthDistribution {
+        let class = LengthClass { workspace: workspace.clone(), kind: kind.clone() };
         match self.by_class.get(&class) {
-            Some(own) if OWN_FROM <= own.weight() => own,
-            _ => self.by_kind.get(kind).unwrap_or(&self.unknown),
+            Some(own) if MIN_CLASS_SAMPLES <= own.weight() => own,
+            _ => self.by_kind.get(kind).unwrap_or(&self.prior),
         }
     }
 }
--- a/crates/core/src/placement/handover.rs
+++ b/crates/core/src/placement/handover.rs
@@ -72,7 +72,7 @@
         if source.health == Health::Leaving || !source.spec.moves || placed.req.isolated {
             return Next::Stay;
         }
-        let work = self.rest_of(placed);
+        let demand = self.rest_of(placed);
         let Some(target) = self.targets.get(&placed.req.target) else { return Next::Stay };
         let is_near = |state: &&EndpointState| {
             state.spec.hall == source.spec.hall
@@ -84,7 +84,8 @@
         let near: Vec<&EndpointState> = even_sample(&near, self.samples).copied().collect();
         let fastest = Fastest::of(&near, now);
         let here = fastest.token_time_at(source, now);
-        let gain = |state: &EndpointState| work.output * (here - fastest.token_time_at(state, now));
+        let gain =
+            |state: &EndpointState| demand.output * (here - fastest.token_time_at(state, now));
         let worth_it: Vec<&EndpointState> =
             near.iter().copied().filter(|state| HANDOVER_COST < gain(state)).collect();
         if worth_it.is_empty() {
@@ -98,7 +99,7 @@
             .copied()
             .filter(|state| !self.evacuation.is_busy(&state.name))
             .collect();
-        match self.policy.choose(&work, &free, now) {
+        match self.policy.choose(&demand, &free, now) {
             Some(at) => Next::Go(free[at].name.clone()),
             None => Next::Wait,
         }
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -57,9 +57,9 @@
     endpoint::{EndpointState, Health, LoadReport},
     engine_choice::{Candidate, EngineLoad, SampledEndpoint, sort_by_cost},
     evacuation::Relocation,
-    forecast::{HORIZONS, LengthForecast, Survival},
+    forecast::{HORIZONS, LengthDistribution, LengthForecast},
     policy::{
-        FirstFit, ForecastPolicy, LeastOutstanding, Policy, PowerOfTwoChoices, RoundRobin, Work,
+        Demand, FirstFit, ForecastPolicy, LeastOutstanding, Policy, PowerOfTwoChoices, RoundRobin,
     },
     reading::prefill_time,
     scheduler::{Scheduler, SchedulerLimits},
--- a/crates/core/src/placement/policy/baselines.rs
+++ b/crates/core/src/placement/policy/baselines.rs
@@ -1,6 +1,6 @@
 //! Policies to compare with.
 
-use super::{Policy, Work, has_slot, least};
+use super::{Demand, Policy, has_slot, least};
 use crate::{placement::endpoint::EndpointState, units::Instant};
 
 /// The next endpoint in turn that has a free slot.
@@ -14,7 +14,7 @@
         "round-robin"
     }
 
-    fn choose(&mut self, _: &Work, endpoints: &[&EndpointState], _: Instant) -> Option<usize> {
+    fn choose(&mut self, _: &Demand, endpoints: &[&EndpointState], _: Instant) -> Option<usize> {
         let n = endpoints.len();
         let chosen = (0..n).map(|i| (self.next + i) % n).find(|i| has_slot(endpoints[*i]))?;
         self.next = chosen + 1;
@@ -31,7 +31,7 @@
         "least-outstanding"
     }
 
-    fn choose(&mut self, _: &Work, endpoints: &[&EndpointState], _: Instant) -> Option<usize> {
+    fn choose(&mut self, _: &Demand, endpoints: &[&EndpointState], _: Instant) -> Option<usize> {
         least(endpoints, has_slot, |endpoint| endpoint.load() as f64)
     }
 }
@@ -45,10 +45,15 @@
         "first-fit"
     }
 
-    fn choose(&mut self, work: &Work, endpoints: &[&EndpointState], _: Instant) -> Option<usize> {
+    fn choose(
+        &mut self,
+        demand: &Demand,
+        endpoints: &[&EndpointState],
+        _: Instant,
+    ) -> Option<usize> {
         endpoints.iter().position(|endpoint| {
             let room = endpoint.spec.kv_tokens as f64 - endpoint.kv_used();
-            has_slot(endpoint) && work.share.used <= room
+            has_slot(endpoint) && demand.memory.used <= room
         })
     }
 }
--- a/crates/core/src/placement/policy/forecast.rs
+++ b/crates/core/src/placement/policy/forecast.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use super::{Policy, Work, has_slot, least};
+use super::{Demand, Policy, has_slot, least};
 use crate::{
     mechanism::{Disabled, Mechanism},
     placement::{
@@ -74,53 +74,53 @@
     }
 
     /// The fullest that the endpoint is forecast to be, in parts of its memory.
-    fn fullness(&self, work: &Work, endpoint: &EndpointState) -> f64 {
+    fn fullness(&self, demand: &Demand, endpoint: &EndpointState) -> f64 {
         let total = &endpoint.total;
         let margin = self.if_on(Mechanism::ForecastMargin, self.margin);
-        let mut most = total.used + work.share.used;
+        let mut most = total.used + demand.memory.used;
         for i in 0..HORIZONS.len() {
-            let mean = total.mean[i] + work.share.mean[i];
-            let variance = (total.variance[i] + work.share.variance[i]).max(0.0);
+            let mean = total.mean[i] + demand.memory.mean[i];
+            let variance = (total.variance[i] + demand.memory.variance[i]).max(0.0);
             most = most.max(mean + margin * variance.sqrt());
         }
         most / endpoint.spec.kv_tokens as f64
     }
 
     /// Whether a request may be sent there: it has room, and the first token would come in time.
-    pub(super) fn fits(&self, work: &Work, endpoint: &EndpointState, now: Instant) -> bool {
-        let memory = endpoint.spec.kv_tokens == 0 || self.fullness(work, endpoint) <= 1.0;
+    pub(super) fn fits(&self, demand: &Demand, endpoint: &EndpointState, now: Instant) -> bool {
+        let memory = endpoint.spec.kv_tokens == 0 || self.fullness(demand, endpoint) <= 1.0;
         // An empty endpoint takes even what the forecast finds too large.
         let has_room = has_slot(endpoint) && (memory || endpoint.running == 0);
-        has_room && is_in_time(work, endpoint, now)
+        has_room && is_in_time(demand, endpoint, now)
     }
 
     /// Seconds lost at this endpoint.
-    fn cost(&self, work: &Work, endpoint: &EndpointState, all: &Usual, now: Instant) -> f64 {
+    fn cost(&self, demand: &Demand, endpoint: &EndpointState, all: &Usual, now: Instant) -> f64 {
         let load = endpoint.load() as f64 / endpoint.spec.slots as f64;
         if endpoint.spec.kv_tokens == 0 {
             return load;
         }
         let kv = endpoint.spec.kv_tokens as f64;
-        let cached = endpoint.has_prefix(work.prefix, now);
-        let saved = if cached { work.prompt_tokens as f64 / kv } else { 0.0 };
-        let crowded = self.fullness(work, endpoint) + self.load_value * load
+        let cached = endpoint.has_prefix(demand.prefix, now);
+        let saved = if cached { demand.prompt_tokens as f64 / kv } else { 0.0 };
+        let crowded = self.fullness(demand, endpoint) + self.load_value * load
             - self.if_on(Mechanism::PrefixAffinity, self.prefix_value * saved);
         let own = MEMORY_VALUE * crowded
-            + self.time_to_first(work, endpoint, now)
-            + self.time_to_last(work, endpoint, all, now);
-        let holds_up = endpoint.reading.holds_up(work.prompt_tokens).as_secs_f64();
+            + self.time_to_first(demand, endpoint, now)
+            + self.time_to_last(demand, endpoint, all, now);
+        let holds_up = endpoint.reading.holds_up(demand.prompt_tokens).as_secs_f64();
         if !self.disabled.allows(Mechanism::WorthWeights) {
             let others = endpoint.running as f64 * holds_up;
             return own + self.if_on(Mechanism::ReadingHarm, others);
         }
-        let others = endpoint.total.worth * holds_up;
-        work.share.worth * own + self.if_on(Mechanism::ReadingHarm, others)
+        let others = endpoint.total.value * holds_up;
+        demand.memory.value * own + self.if_on(Mechanism::ReadingHarm, others)
     }
 
     /// Seconds lost before the first token.
-    fn time_to_first(&self, work: &Work, endpoint: &EndpointState, now: Instant) -> f64 {
-        let first = first_token(work, endpoint, now).as_secs_f64();
-        let within = work.ttft_target.as_secs_f64();
+    fn time_to_first(&self, demand: &Demand, endpoint: &EndpointState, now: Instant) -> f64 {
+        let first = first_token(demand, endpoint, now).as_secs_f64();
+        let within = demand.ttft_target.as_secs_f64();
         let late = LATE_VALUE * (2.0 * first / within - 1.0).clamp(0.0, 1.0).powi(2);
         self.if_on(Mechanism::ReadingWait, FIRST_TOKEN_WEIGHT * first)
             + self.if_on(Mechanism::LateFirstToken, late)
@@ -129,21 +129,21 @@
     /// Seconds lost between the tokens.
     fn time_to_last(
         &self,
-        work: &Work,
+        demand: &Demand,
         endpoint: &EndpointState,
         all: &Usual,
         now: Instant,
     ) -> f64 {
         let token_time = all.fastest.token_time_at(endpoint, now);
-        let stays = work.output * (token_time - all.least_token_time).max(0.0);
+        let stays = demand.output * (token_time - all.least_token_time).max(0.0);
         let moves = endpoint.spec.moves && self.disabled.allows(Mechanism::Handover);
         let held_up =
-            if moves && 0 < work.prompt_tokens { stays.min(HANDOVER_COST) } else { stays };
+            if moves && 0 < demand.prompt_tokens { stays.min(HANDOVER_COST) } else { stays };
         // What neither the prompts that it reads nor its own speed explain.
         let explained = all.fastest.slowness_of(endpoint, now) - 1.0;
         let slowdown = endpoint.pace.slowdown(all.fastest.pace, now);
         let unexplained = (slowdown - explained - USUAL_SPREAD).max(0.0);
-        let slow = work.output * all.least_token_time * unexplained;
+        let slow = demand.output * all.least_token_time * unexplained;
         self.if_on(Mechanism::ReadingAvoidance, held_up) + self.if_on(Mechanism::Pace, slow)
     }
 
@@ -158,25 +158,30 @@
         "forecast"
     }
 
-    fn choose(&mut self, work: &Work, endpoints: &[&EndpointState], now: Instant) -> Option<usize> {
+    fn choose(
+        &mut self,
+        demand: &Demand,
+        endpoints: &[&EndpointState],
+        now: Instant,
+    ) -> Option<usize> {
         let fastest = Fastest::of(endpoints, now);
         let token_times = endpoints.iter().map(|endpoint| fastest.token_time_at(endpoint, now));
         let least_token_time = token_times.min_by(f64::total_cmp).unwrap_or_default();
         let all = Usual { fastest, least_token_time };
-        let fits = |endpoint: &EndpointState| self.fits(work, endpoint, now);
-        least(endpoints, fits, |endpoint| self.cost(work, endpoint, &all, now))
+        let fits = |endpoint: &EndpointState| self.fits(demand, endpoint, now);
+        least(endpoints, fits, |endpoint| self.cost(demand, endpoint, &all, now))
     }
 }
 
 /// Whether the first token would come in time, or late wherever it is sent.
-fn is_in_time(work: &Work, endpoint: &EndpointState, now: Instant) -> bool {
-    let within = work.ttft_target;
-    let is_late_anyway = within < endpoint.reading.time_for(work.prompt_tokens);
-    work.prompt_tokens == 0 || is_late_anyway || first_token(work, endpoint, now) <= within
+fn is_in_time(demand: &Demand, endpoint: &EndpointState, now: Instant) -> bool {
+    let within = demand.ttft_target;
+    let is_late_anyway = within < endpoint.reading.time_for(demand.prompt_tokens);
+    demand.prompt_tokens == 0 || is_late_anyway || first_token(demand, endpoint, now) <= within
 }
 
 /// Time until the first token of a request that is sent there now (measured: 90% come within 1.3 times
 /// this, also where engines read all the time).
-fn first_token(work: &Work, endpoint: &EndpointState, now: Instant) -> Duration {
-    endpoint.reading.left(now) + endpoint.reading.time_for(work.prompt_tokens)
+fn first_token(demand: &Demand, endpoint: &EndpointState, now: Instant) -> Duration {
+    endpoint.reading.left(now) + endpoint.reading.time_for(demand.prompt_tokens)
 }
--- a/crates/core/src/placement/policy/mod.rs
+++ b/crates/core/src/placement/policy/mod.rs
@@ -13,16 +13,16 @@
 };
 use super::{
     PrefixHash, Request,
-    endpoint::{EndpointState, Share},
-    forecast::{Survival, worth},
+    endpoint::{EndpointState, MemoryDemand},
+    forecast::{LengthDistribution, generation_value},
 };
 use crate::units::Instant;
 
 /// What a request needs of the endpoint that is to run it.
 #[derive(Debug, Clone)]
-pub struct Work {
+pub struct Demand {
     /// Forecast of its memory.
-    pub(crate) share: Share,
+    pub(crate) memory: MemoryDemand,
     /// Prompt tokens that must be read there; none where the memory is moved.
     pub(crate) prompt_tokens: u64,
     /// Start of the prompt.
@@ -33,14 +33,14 @@
     pub(crate) ttft_target: Duration,
 }
 
-impl Work {
+impl Demand {
     /// The work of a request that begins.
-    pub(crate) fn new(req: &Request, survival: &Survival) -> Work {
-        let output = survival.expected_beyond(0, req.max_tokens);
-        let mut share = Share::forecast(survival, req.prompt_tokens, 0, req.max_tokens);
-        share.worth = worth(req.prompt_tokens, output);
-        Work {
-            share,
+    pub(crate) fn new(req: &Request, distribution: &LengthDistribution) -> Demand {
+        let output = distribution.expected_remaining(0, req.max_tokens);
+        let mut memory = MemoryDemand::forecast(distribution, req.prompt_tokens, 0, req.max_tokens);
+        memory.value = generation_value(req.prompt_tokens, output);
+        Demand {
+            memory,
             prompt_tokens: req.prompt_tokens,
             prefix: req.prefix,
             output,
@@ -55,7 +55,12 @@
     fn name(&self) -> &'static str;
 
     /// Index of the chosen endpoint, or `None` to let the request wait.
-    fn choose(&mut self, work: &Work, endpoints: &[&EndpointState], now: Instant) -> Option<usize>;
+    fn choose(
+        &mut self,
+        demand: &Demand,
+        endpoints: &[&EndpointState],
+        now: Instant,
+    ) -> Option<usize>;
 }
 
 fn has_slot(endpoint: &EndpointState) -> bool {
--- a/crates/core/src/placement/policy/power_of_two.rs
+++ b/crates/core/src/placement/policy/power_of_two.rs
@@ -1,6 +1,6 @@
 //! The better of two endpoints drawn at random.
 
-use super::{ForecastPolicy, Policy, Work};
+use super::{Demand, ForecastPolicy, Policy};
 use crate::{
     mechanism::{Disabled, Mechanism},
     placement::endpoint::EndpointState,
@@ -32,8 +32,13 @@
         "two-drawn"
     }
 
-    fn choose(&mut self, work: &Work, endpoints: &[&EndpointState], now: Instant) -> Option<usize> {
-        let has_room = |at: &usize| self.inner.fits(work, endpoints[*at], now);
+    fn choose(
+        &mut self,
+        demand: &Demand,
+        endpoints: &[&EndpointState],
+        now: Instant,
+    ) -> Option<usize> {
+        let has_room = |at: &usize| self.inner.fits(demand, endpoints[*at], now);
         let mut open: Vec<usize> = (0..endpoints.len()).filter(has_room).collect();
         let mut drawn = Vec::new();
         while drawn.len() < 2 && !open.is_empty() {
@@ -45,6 +50,6 @@
             }
         }
         let choices: Vec<&EndpointState> = drawn.iter().map(|at| endpoints[*at]).collect();
-        self.inner.choose(work, &choices, now).map(|at| drawn[at])
+        self.inner.choose(demand, &choices, now).map(|at| drawn[at])
     }
 }
--- a/crates/core/src/placement/running.rs
+++ b/crates/core/src/placement/running.rs
@@ -4,9 +4,9 @@
 
 use super::{
     Request, Ticket,
-    endpoint::Share,
+    endpoint::MemoryDemand,
     pace::{self, PaceMeter},
-    policy::Work,
+    policy::Demand,
     reading::prefill_time,
     scheduler::{Count, Placed, Queued, Scheduler},
 };
@@ -46,7 +46,7 @@
         if req.max_tokens <= tokens {
             return 1.0;
         }
-        1.0 - self.forecast.survival(&req.workspace, &req.kind).chance_beyond(0, tokens)
+        1.0 - self.forecast.distribution(&req.workspace, &req.kind).probability_beyond(0, tokens)
     }
 
     /// Notes the number of tokens that a running stream has produced.
@@ -65,21 +65,22 @@
             return;
         }
         let req = &placed.req;
-        let survival = self.forecast.survival(&req.workspace, &req.kind);
-        let mut share = Share::forecast(survival, req.prompt_tokens, tokens, req.max_tokens);
-        share.worth = placed.share.worth;
+        let distribution = self.forecast.distribution(&req.workspace, &req.kind);
+        let mut memory =
+            MemoryDemand::forecast(distribution, req.prompt_tokens, tokens, req.max_tokens);
+        memory.value = placed.memory.value;
         if let Some(endpoint) = self.endpoints.get_mut(&placed.endpoint) {
             if placed.tokens == 0 {
                 endpoint.reading.read(ticket, now);
                 self.backoffs.on_end(&placed.endpoint, placed.at, true, now);
             }
-            endpoint.update(&placed.share, &share);
+            endpoint.update(&placed.memory, &memory);
             placed.meter.measure(tokens, now, &mut endpoint.pace);
         }
         if let Some(target) = self.targets.get_mut(&req.target) {
             target.queue.charge(req.rank, &req.workspace, req.share, tokens - placed.tokens);
         }
-        placed.share = share;
+        placed.memory = memory;
         placed.tokens = tokens;
     }
 
@@ -94,14 +95,14 @@
         self.forget_apart(ticket);
         self.count_running(&placed.req, -1);
         if let Some(endpoint) = self.endpoints.get_mut(&placed.endpoint) {
-            endpoint.release(&placed.share, now);
+            endpoint.release(&placed.memory, now);
             endpoint.reading.drop(ticket, now);
             if whole {
                 endpoint.on_success();
             }
         }
         if whole {
-            self.forecast.learn(&placed.req.workspace, &placed.req.kind, tokens);
+            self.forecast.record(&placed.req.workspace, &placed.req.kind, tokens);
         }
     }
 
@@ -136,7 +137,7 @@
             return;
         }
         if let Some(from) = self.endpoints.get_mut(&placed.endpoint) {
-            from.release(&placed.share, now);
+            from.release(&placed.memory, now);
             from.reading.drop(ticket, now);
         }
         if placed.tokens == 0 {
@@ -147,19 +148,19 @@
         placed.endpoint = to.clone();
         placed.meter = PaceMeter::default();
         if let Some(state) = self.endpoints.get_mut(to) {
-            state.grant(&placed.share, now);
+            state.grant(&placed.memory, now);
         }
     }
 
     /// What a running request still needs of an endpoint that goes on with it.
-    pub(super) fn rest_of(&self, placed: &Placed) -> Work {
+    pub(super) fn rest_of(&self, placed: &Placed) -> Demand {
         let req = &placed.req;
-        let survival = self.forecast.survival(&req.workspace, &req.kind);
-        Work {
-            share: placed.share,
+        let distribution = self.forecast.distribution(&req.workspace, &req.kind);
+        Demand {
+            memory: placed.memory,
             prompt_tokens: 0,
             prefix: req.prefix,
-            output: survival.expected_beyond(placed.tokens, req.max_tokens),
+            output: distribution.expected_remaining(placed.tokens, req.max_tokens),
             ttft_target: Duration::MAX,
         }
     }
@@ -207,11 +208,12 @@
     /// Accounts for a request that runs at an endpoint from now on.
     fn run_at(&mut self, req: Request, endpoint: &Arc<str>, now: Instant) {
         let Some(state) = self.endpoints.get_mut(endpoint) else { return };
-        let share = Work::new(&req, self.forecast.survival(&req.workspace, &req.kind)).share;
-        state.grant(&share, now);
+        let memory =
+            Demand::new(&req, self.forecast.distribution(&req.workspace, &req.kind)).memory;
+        state.grant(&memory, now);
         self.count_running(&req, 1);
         let meter = PaceMeter::default();
-        let placed = Placed { endpoint: endpoint.clone(), share, tokens: 0, meter, at: now, req };
+        let placed = Placed { endpoint: endpoint.clone(), memory, tokens: 0, meter, at: now, req };
         self.placed.insert(placed.req.ticket, placed);
     }
 }
--- a/crates/core/src/placement/scheduler.rs
+++ b/crates/core/src/placement/scheduler.rs
@@ -10,13 +10,13 @@
     Action, Request, SampledEndpoint, SenderRole, Ticket,
     apart::Apart,
     backoff::{Candidates, Held},
-    endpoint::{EndpointState, Share},
+    endpoint::{EndpointState, MemoryDemand},
     evacuation::Evacuation,
     forecast::LengthForecast,
     giving_up::overloaded,
     handover::Handover,
     pace::PaceMeter,
-    policy::{ForecastPolicy, Policy, PowerOfTwoChoices, Work},
+    policy::{Demand, ForecastPolicy, Policy, PowerOfTwoChoices},
     target::Target,
 };
 use crate::{
@@ -58,7 +58,7 @@
 pub(super) struct Placed {
     pub(super) req: Request,
     pub(super) endpoint: Arc<str>,
-    pub(super) share: Share,
+    pub(super) memory: MemoryDemand,
     pub(super) tokens: u64,
     pub(super) meter: PaceMeter,
     /// When it was placed there.
@@ -204,8 +204,8 @@
         let open = Candidates::new(others, req, |endpoint| {
             self.admission(endpoint, req.ticket.entry, now)
         });
-        let work = Work::new(req, self.forecast.survival(&req.workspace, &req.kind));
-        open.choose(&work, &mut *self.policy, now)
+        let demand = Demand::new(req, self.forecast.distribution(&req.workspace, &req.kind));
+        open.choose(&demand, &mut *self.policy, now)
     }
 
     /// The endpoint of this name.
@@ -367,15 +367,16 @@
             if blocked <= req.rank {
                 continue;
             }
-            let mut work = Work::new(req, self.forecast.survival(&req.workspace, &req.kind));
-            work.ttft_target = req.ttft_target.saturating_sub(now.since(waiting.arrived));
+            let mut demand =
+                Demand::new(req, self.forecast.distribution(&req.workspace, &req.kind));
+            demand.ttft_target = req.ttft_target.saturating_sub(now.since(waiting.arrived));
             self.samples = self.samples.wrapping_add(1);
             let sample = state.sample(self.samples, req.prefix);
             let open = sample.filter_map(|name| self.endpoints.get(name));
             let open = Candidates::new(open, req, |endpoint| {
                 self.admission(endpoint, req.ticket.entry, now)
             });
-            if let Some(endpoint) = open.choose(&work, &mut *self.policy, now) {
+            if let Some(endpoint) = open.choose(&demand, &mut *self.policy, now) {
                 return Some(Next::Start(Chosen {
                     rank: req.rank,
                     workspace: req.workspace.clone(),
--- a/crates/core/src/placement/tests.rs
+++ b/crates/core/src/placement/tests.rs
@@ -214,13 +214,13 @@
 fn what_is_expected_yet_follows_the_lengths_seen_and_the_bound() {
     let mut forecast = LengthForecast::default();
     for _ in 0..1_000 {
-        forecast.learn(&"w".into(), &"chat".into(), 512);
+        forecast.record(&"w".into(), &"chat".into(), 512);
     }
-    let survival = forecast.survival(&"w".into(), &"chat".into());
+    let distribution = forecast.distribution(&"w".into(), &"chat".into());
 
-    let fresh = survival.expected_beyond(1, 2_000);
-    let near_end = survival.expected_beyond(500, 2_000);
-    let at_bound = survival.expected_beyond(500, 500);
+    let fresh = distribution.expected_remaining(1, 2_000);
+    let near_end = distribution.expected_remaining(500, 2_000);
+    let at_bound = distribution.expected_remaining(500, 500);
 
     // Lengths are counted in buckets of a quarter octave: 512 may be anything up to 609.
     expect_that!(fresh, all!(ge(480.0), le(620.0)));
