--- a/crates/core/src/placement/apart.rs
+++ b/crates/core/src/placement/apart.rs
@@ -83,14 +83,14 @@
             return Some(kept.name.clone());
         }
         let most = (usable.len() / KEPT_PART).max(1);
-        let is_kept = |state: &&&EndpointState| state.kept_for.is_some();
-        if most <= usable.iter().filter(is_kept).count() {
+        let is_reserved = |state: &&&EndpointState| state.reserved_for.is_some();
+        if most <= usable.iter().filter(is_reserved).count() {
             return None;
         }
-        let free = usable.iter().filter(|state| state.kept_for.is_none());
+        let free = usable.iter().filter(|state| state.reserved_for.is_none());
         let avoided = |state: &EndpointState| waiting.req.avoid.contains(&state.name);
         let least =
-            free.min_by_key(|state| (avoided(state), state.reading.unread(), state.running()))?;
+            free.min_by_key(|state| (avoided(state), state.prefill.pending(), state.running()))?;
         Some(least.name.clone())
     }
 
@@ -107,7 +107,7 @@
         }
         self.apart.kept.insert(ticket, endpoint.clone());
         if let Some(state) = self.endpoints.get_mut(endpoint) {
-            state.kept_for = Some(ticket);
+            state.reserved_for = Some(ticket);
         }
     }
 
@@ -119,7 +119,7 @@
         let req = &waiting.req;
         let mut demand = Demand::new(req, self.forecast.distribution(&req.workspace, &req.kind));
         demand.ttft_target = req.ttft_target.saturating_sub(now.since(waiting.arrived));
-        let is_alone = state.kept_for.is_none() || state.reading.unread() == 0;
+        let is_alone = state.reserved_for.is_none() || state.prefill.pending() == 0;
         is_alone && self.policy.choose(&demand, &[state], now).is_some()
     }
 
@@ -139,7 +139,7 @@
     fn let_go(&mut self, ticket: Ticket) {
         let Some(endpoint) = self.apart.kept.remove(&ticket) else { return };
         if let Some(state) = self.endpoints.get_mut(&endpoint) {
-            state.kept_for.take_if(|kept_for| *kept_for == ticket);
+            state.reserved_for.take_if(|reserved_for| *reserved_for == ticket);
         }
     }
 }
--- a/crates/core/src/placement/apart_tests.rs
+++ b/crates/core/src/placement/apart_tests.rs
@@ -131,8 +131,9 @@
     let mut scheduler = busy(2, 0);
     let before = start(&mut scheduler, plain(10..20), 0);
     expect_that!(start(&mut scheduler, vec![apart(1)], 10), is_empty());
-    let kept =
-        ["e0", "e1"].into_iter().find(|name| !scheduler.endpoint(name).unwrap().takes_work(ms(10)));
+    let kept = ["e0", "e1"]
+        .into_iter()
+        .find(|name| !scheduler.endpoint(name).unwrap().is_available(ms(10)));
 
     scheduler.endpoint_failed(kept.unwrap(), ms(20));
     for (number, _) in &before {
--- a/crates/core/src/placement/endpoint.rs
+++ b/crates/core/src/placement/endpoint.rs
@@ -11,17 +11,17 @@
     cold_start::{ColdPacer, cold_interval},
     forecast::{HORIZONS, LengthDistribution},
     pace::Pace,
-    reading::Reading,
+    prefill::PrefillQueue,
 };
 use crate::{config::EndpointSpec, units::Instant};
 
 /// A cached prefix is believed for this long.
-const PREFIX_LIFE: Duration = Duration::from_secs(60);
+const PREFIX_TTL: Duration = Duration::from_secs(60);
 /// A scheduler's word that an endpoint is slow is believed for this long. Each daemon is told of all
 /// slow ones in turn, of 600 within 40 s.
-const TOLD_SLOW_LIFE: Duration = Duration::from_secs(60);
+const SLOWNESS_REPORT_TTL: Duration = Duration::from_secs(60);
 const MAX_PREFIXES: usize = 512;
-const MAX_CHANGES: usize = 256;
+const MAX_LOAD_CHANGES: usize = 256;
 
 /// Whether an endpoint may get new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -91,14 +91,14 @@
 
 /// How much slower than others an endpoint is, as a scheduler has told.
 #[derive(Debug, Clone, Copy)]
-struct ToldSlow {
+struct ReportedSlowness {
     slowness: f64,
     at: Instant,
 }
 
 /// A grant or a release of one request.
 #[derive(Debug, Clone, Copy)]
-struct Change {
+struct LoadChange {
     at: Instant,
     delta: i64,
 }
@@ -110,23 +110,23 @@
     pub(crate) spec: EndpointSpec,
     pub(crate) health: Health,
     /// Its data hall is out of service.
-    out: bool,
+    hall_out: bool,
     cold: Option<ColdPacer>,
     /// Requests granted and not yet finished.
     pub(crate) running: u64,
     pub(crate) total: MemoryDemand,
     pub(crate) report: LoadReport,
     /// Grants and releases since the last report was true.
-    since_report: VecDeque<Change>,
+    changes_since_report: VecDeque<LoadChange>,
     prefixes: HashMap<PrefixHash, Instant>,
     failures: u32,
     /// The prompts that were granted to it.
-    pub(crate) reading: Reading,
+    pub(crate) prefill: PrefillQueue,
     /// How fast it makes tokens.
     pub(crate) pace: Pace,
-    told_slow: Option<ToldSlow>,
+    slowness_report: Option<ReportedSlowness>,
     /// The request that runs apart for which it is kept, and takes no other work.
-    pub(crate) kept_for: Option<Ticket>,
+    pub(crate) reserved_for: Option<Ticket>,
 }
 
 impl EndpointState {
@@ -136,18 +136,18 @@
             name,
             spec,
             health: Health::Live,
-            out: false,
+            hall_out: false,
             cold: None,
             running: 0,
             total: MemoryDemand::default(),
             report: LoadReport::default(),
-            since_report: VecDeque::new(),
+            changes_since_report: VecDeque::new(),
             prefixes: HashMap::new(),
             failures: 0,
-            reading: Reading::default(),
+            prefill: PrefillQueue::default(),
             pace: Pace::default(),
-            told_slow: None,
-            kept_for: None,
+            slowness_report: None,
+            reserved_for: None,
         }
     }
 
@@ -163,33 +163,35 @@
 
     /// Whether its data hall is out of service.
     pub fn is_out_of_service(&self) -> bool {
-        self.out
+        self.hall_out
     }
 
     /// Notes that it is cold until then; its first request is due after this part of the time between
     /// two.
-    pub(crate) fn set_cold(&mut self, until: Instant, by: SenderRole, part: f64, now: Instant) {
-        let Some(bears) = self.spec.cold_start else { return };
+    pub(crate) fn set_cold(&mut self, until: Instant, role: SenderRole, phase: f64, now: Instant) {
+        let Some(cold_start) = self.spec.cold_start else { return };
         match &mut self.cold {
             Some(cold) if !cold.is_over(now) => cold.extend(until),
-            cold => *cold = Some(ColdPacer::new(until, cold_interval(by, bears), part, now)),
+            cold => {
+                *cold = Some(ColdPacer::new(until, cold_interval(role, cold_start), phase, now))
+            }
         }
     }
 
     /// Notes that a request is sent to it.
-    pub(crate) fn note_sent(&mut self, by: SenderRole, now: Instant) {
-        if let (Some(cold), Some(bears)) = (&mut self.cold, self.spec.cold_start) {
-            cold.on_sent(cold_interval(by, bears), now);
+    pub(crate) fn on_sent(&mut self, role: SenderRole, now: Instant) {
+        if let (Some(cold), Some(cold_start)) = (&mut self.cold, self.spec.cold_start) {
+            cold.on_sent(cold_interval(role, cold_start), now);
         }
     }
 
     /// When it may be sent the next request while it is cold.
-    pub(crate) fn next_while_cold(&self) -> Option<Instant> {
+    pub(crate) fn next_cold_send(&self) -> Option<Instant> {
         self.cold.map(|cold| cold.next_send_at())
     }
 
-    pub(crate) fn set_out(&mut self, out: bool) {
-        self.out = out;
+    pub(crate) fn set_hall_out(&mut self, hall_out: bool) {
+        self.hall_out = hall_out;
     }
 
     /// Requests granted and not yet finished.
@@ -198,15 +200,15 @@
     }
 
     /// Whether new work may be sent now.
-    pub fn takes_work(&self, now: Instant) -> bool {
-        self.kept_for.is_none() && self.is_usable(now)
+    pub fn is_available(&self, now: Instant) -> bool {
+        self.reserved_for.is_none() && self.is_usable(now)
     }
 
     /// Whether new work may be sent now, or could be if the endpoint were not kept for a request that
     /// runs apart.
     pub(crate) fn is_usable(&self, now: Instant) -> bool {
         match self.health {
-            _ if self.out => false,
+            _ if self.hall_out => false,
             _ if self.cold.is_some_and(|cold| !cold.may_send(now)) => false,
             Health::Live => true,
             Health::Leaving => false,
@@ -221,7 +223,7 @@
             return self.running;
         }
         let reported = (self.report.running + self.report.waiting) as i64;
-        let since: i64 = self.since_report.iter().map(|change| change.delta).sum();
+        let since: i64 = self.changes_since_report.iter().map(|change| change.delta).sum();
         self.running.max((reported + since).max(0) as u64)
     }
 
@@ -236,31 +238,32 @@
             return;
         }
         self.report = report;
-        while self.since_report.front().is_some_and(|change| change.at <= report.at) {
-            self.since_report.pop_front();
+        while self.changes_since_report.front().is_some_and(|change| change.at <= report.at) {
+            self.changes_since_report.pop_front();
         }
     }
 
     /// Notes that it takes so many times as long as others for everything.
-    pub(crate) fn tell_slow(&mut self, slowness: f64, now: Instant) {
-        self.told_slow = Some(ToldSlow { slowness, at: now });
+    pub(crate) fn set_reported_slowness(&mut self, slowness: f64, now: Instant) {
+        self.slowness_report = Some(ReportedSlowness { slowness, at: now });
     }
 
     /// How many times as long as others it takes, as far as a scheduler has told lately.
-    pub(crate) fn told_slowness(&self, now: Instant) -> f64 {
-        let told = self.told_slow.filter(|told| now.since(told.at) < TOLD_SLOW_LIFE);
-        told.map_or(1.0, |told| told.slowness)
+    pub(crate) fn reported_slowness(&self, now: Instant) -> f64 {
+        let report =
+            self.slowness_report.filter(|report| now.since(report.at) < SLOWNESS_REPORT_TTL);
+        report.map_or(1.0, |report| report.slowness)
     }
 
     /// Whether the prefix is believed to be cached.
     pub fn has_prefix(&self, prefix: PrefixHash, now: Instant) -> bool {
-        self.prefixes.get(&prefix).is_some_and(|at| now.since(*at) < PREFIX_LIFE)
+        self.prefixes.get(&prefix).is_some_and(|at| now.since(*at) < PREFIX_TTL)
     }
 
     /// Notes that the prefix is cached here.
-    pub fn note_prefix(&mut self, prefix: PrefixHash, now: Instant) {
+    pub fn record_prefix(&mut self, prefix: PrefixHash, now: Instant) {
         if MAX_PREFIXES <= self.prefixes.len() {
-            self.prefixes.retain(|_, at| now.since(*at) < PREFIX_LIFE);
+            self.prefixes.retain(|_, at| now.since(*at) < PREFIX_TTL);
         }
         if MAX_PREFIXES <= self.prefixes.len() {
             self.prefixes.clear();
@@ -271,14 +274,14 @@
     /// Opens the circuit after a failure, for longer after each in a row. Returns until when, if new
     /// work may be sent then.
     pub(crate) fn on_failure(&mut self, now: Instant) -> Option<Instant> {
-        const FIRST: Duration = Duration::from_millis(500);
-        const LONGEST: Duration = Duration::from_secs(30);
+        const INITIAL_PAUSE: Duration = Duration::from_millis(500);
+        const MAX_PAUSE: Duration = Duration::from_secs(30);
         self.failures = (self.failures + 1).min(10);
-        let pause = FIRST * 2u32.pow(self.failures - 1);
+        let pause = INITIAL_PAUSE * 2u32.pow(self.failures - 1);
         if self.health == Health::Leaving {
             return None;
         }
-        let until = now.after(pause.min(LONGEST));
+        let until = now.after(pause.min(MAX_PAUSE));
         self.health = Health::Down(until);
         Some(until)
     }
@@ -293,7 +296,7 @@
 
     pub(crate) fn grant(&mut self, memory: &MemoryDemand, now: Instant) {
         self.running += 1;
-        self.note(Change { at: now, delta: 1 });
+        self.record_change(LoadChange { at: now, delta: 1 });
         self.total.add(memory, 1.0);
     }
 
@@ -304,7 +307,7 @@
 
     pub(crate) fn release(&mut self, memory: &MemoryDemand, now: Instant) {
         self.running -= 1;
-        self.note(Change { at: now, delta: -1 });
+        self.record_change(LoadChange { at: now, delta: -1 });
         self.total.add(memory, -1.0);
         if self.running == 0 {
             // Drop what rounding left behind.
@@ -312,12 +315,12 @@
         }
     }
 
-    fn note(&mut self, change: Change) {
-        if MAX_CHANGES <= self.since_report.len() {
+    fn record_change(&mut self, change: LoadChange) {
+        if MAX_LOAD_CHANGES <= self.changes_since_report.len() {
             // Reports have stopped; what was granted here is the better account.
             self.report = LoadReport::default();
-            self.since_report.clear();
+            self.changes_since_report.clear();
         }
-        self.since_report.push_back(change);
+        self.changes_since_report.push_back(change);
     }
 }
--- a/crates/core/src/placement/endpoint_news.rs
+++ b/crates/core/src/placement/endpoint_news.rs
@@ -62,7 +62,7 @@
     /// there goes on.
     pub fn set_halls_out(&mut self, halls: &HallsOut) {
         for endpoint in self.endpoints.values_mut() {
-            endpoint.set_out(halls.contains(&endpoint.spec.hall));
+            endpoint.set_hall_out(halls.contains(&endpoint.spec.hall));
         }
     }
 
@@ -125,14 +125,14 @@
     /// Takes a scheduler's word that an endpoint takes so many times as long as others.
     pub fn endpoint_slow(&mut self, name: &str, slowness: f64, now: Instant) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
-            endpoint.tell_slow(slowness, now);
+            endpoint.set_reported_slowness(slowness, now);
         }
     }
 
     /// The endpoints that take longer than others for everything, and how many times as long.
     pub fn slow_endpoints(&self) -> Vec<(Arc<str>, f64)> {
         let measured = |name: &Arc<str>| {
-            let speed = self.endpoints.get(name)?.reading.measured_speed()?;
+            let speed = self.endpoints.get(name)?.prefill.measured_tokens_per_second()?;
             Some((name.clone(), speed))
         };
         let mut slow = Vec::new();
--- a/crates/core/src/placement/engine_choice.rs
+++ b/crates/core/src/placement/engine_choice.rs
@@ -8,7 +8,7 @@
 
 use std::sync::Arc;
 
-use super::reading::prefill_time;
+use super::prefill::prefill_time;
 
 /// Cost of a full memory, in seconds of waiting for prompts to be read: engines with much free memory
 /// push nothing aside. Between 0.2 and 2 s no difference beyond 0.01 of the worth was measured.
--- a/crates/core/src/placement/evacuation.rs
+++ b/crates/core/src/placement/evacuation.rs
@@ -173,7 +173,7 @@
         let from = self.placed.get(&ticket)?.endpoint.clone();
         self.relocate(ticket, to, now);
         if let Some(state) = self.endpoints.get_mut(to) {
-            state.note_sent(self.senders, now);
+            state.on_sent(self.senders, now);
         }
         self.throttle.sent(to, now);
         let until = now.after(LONGEST_MOVE);
--- a/crates/core/src/placement/fastest.rs
+++ b/crates/core/src/placement/fastest.rs
@@ -25,7 +25,8 @@
 impl Fastest {
     /// The fastest of these.
     pub(super) fn of(endpoints: &[&EndpointState], now: Instant) -> Fastest {
-        let speeds = endpoints.iter().filter_map(|endpoint| endpoint.reading.measured_speed());
+        let speeds =
+            endpoints.iter().filter_map(|endpoint| endpoint.prefill.measured_tokens_per_second());
         Fastest { pace: pace::fastest(endpoints, now), speed: speeds.max_by(f64::total_cmp) }
     }
 
@@ -36,10 +37,10 @@
 
     /// The same as a part of the fastest's time.
     pub(super) fn slowness_of(&self, endpoint: &EndpointState, now: Instant) -> f64 {
-        let own = match (self.speed, endpoint.reading.measured_speed()) {
+        let own = match (self.speed, endpoint.prefill.measured_tokens_per_second()) {
             (Some(fastest), Some(speed)) => fastest / speed,
-            _ => endpoint.told_slowness(now),
+            _ => endpoint.reported_slowness(now),
         };
-        own / (1.0 - endpoint.reading.part(now).min(MOST_READING))
+        own / (1.0 - endpoint.prefill.utilization(now).min(MOST_READING))
     }
 }
--- a/crates/core/src/placement/in_time_tests.rs
+++ b/crates/core/src/placement/in_time_tests.rs
@@ -8,7 +8,7 @@
 use super::{
     Action, Request, Scheduler, Ticket,
     fixture::{ms, request, scheduler},
-    reading::prefill_time,
+    prefill::prefill_time,
 };
 use crate::{testing::fixed_seed, units::Instant};
 
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -36,10 +36,10 @@
 #[cfg(test)]
 mod pace_tests;
 mod policy;
-mod queue;
-mod reading;
+mod prefill;
 #[cfg(test)]
-mod reading_tests;
+mod prefill_tests;
+mod queue;
 mod running;
 mod scheduler;
 mod sender_role;
@@ -61,7 +61,7 @@
     policy::{
         Demand, FirstFit, ForecastPolicy, LeastOutstanding, Policy, PowerOfTwoChoices, RoundRobin,
     },
-    reading::prefill_time,
+    prefill::prefill_time,
     scheduler::{Scheduler, SchedulerLimits},
     sender_role::SenderRole,
 };
--- a/crates/core/src/placement/policy/forecast.rs
+++ b/crates/core/src/placement/policy/forecast.rs
@@ -108,12 +108,12 @@
         let own = MEMORY_VALUE * crowded
             + self.time_to_first(demand, endpoint, now)
             + self.time_to_last(demand, endpoint, all, now);
-        let holds_up = endpoint.reading.holds_up(demand.prompt_tokens).as_secs_f64();
+        let stall = endpoint.prefill.stall_time(demand.prompt_tokens).as_secs_f64();
         if !self.disabled.allows(Mechanism::WorthWeights) {
-            let others = endpoint.running as f64 * holds_up;
+            let others = endpoint.running as f64 * stall;
             return own + self.if_on(Mechanism::ReadingHarm, others);
         }
-        let others = endpoint.total.value * holds_up;
+        let others = endpoint.total.value * stall;
         demand.memory.value * own + self.if_on(Mechanism::ReadingHarm, others)
     }
 
@@ -176,12 +176,12 @@
 /// Whether the first token would come in time, or late wherever it is sent.
 fn is_in_time(demand: &Demand, endpoint: &EndpointState, now: Instant) -> bool {
     let within = demand.ttft_target;
-    let is_late_anyway = within < endpoint.reading.time_for(demand.prompt_tokens);
+    let is_late_anyway = within < endpoint.prefill.time_for(demand.prompt_tokens);
     demand.prompt_tokens == 0 || is_late_anyway || first_token(demand, endpoint, now) <= within
 }
 
 /// Time until the first token of a request that is sent there now (measured: 90% come within 1.3 times
 /// this, also where engines read all the time).
 fn first_token(demand: &Demand, endpoint: &EndpointState, now: Instant) -> Duration {
-    endpoint.reading.left(now) + endpoint.reading.time_for(demand.prompt_tokens)
+    endpoint.prefill.remaining_time(now) + endpoint.prefill.time_for(demand.prompt_tokens)
 }
--- a/crates/core/src/placement/policy/power_of_two.rs
+++ b/crates/core/src/placement/policy/power_of_two.rs
@@ -45,7 +45,7 @@
             let at = self.rng.usize(..open.len());
             // A slow endpoint reads fewer prompts in the same time.
             let is_last = open.len() == 1;
-            if is_last || self.rng.f64() * endpoints[open[at]].told_slowness(now) < 1.0 {
+            if is_last || self.rng.f64() * endpoints[open[at]].reported_slowness(now) < 1.0 {
                 drawn.push(open.swap_remove(at));
             }
         }
--- a/crates/core/src/placement/reading_tests.rs
+++ b/crates/core/src/placement/prefill_tests.rs
@@ -8,7 +8,7 @@
 use super::{
     Action, Request, Scheduler, Ticket,
     fixture::{ms, request, scheduler},
-    reading::{Reading, prefill_time},
+    prefill::{PrefillQueue, prefill_time},
 };
 use crate::{testing::fixed_seed, units::Instant};
 
@@ -99,29 +99,29 @@
 
 #[gtest]
 fn the_time_between_first_tokens_tells_how_fast_an_engine_reads() {
-    let mut reading = Reading::default();
+    let mut reading = PrefillQueue::default();
     let ticket = |number| Ticket { entry: 1, number };
     for number in 0..8 {
-        reading.note(ticket(number), 3_500, ms(0));
+        reading.push(ticket(number), 3_500, ms(0));
     }
     for number in 0..8 {
-        reading.read(ticket(number), ms((number + 1) * 1_000));
+        reading.on_first_token(ticket(number), ms((number + 1) * 1_000));
     }
 
-    expect_that!(reading.left(ms(8_000)), eq(Duration::ZERO));
+    expect_that!(reading.remaining_time(ms(8_000)), eq(Duration::ZERO));
     let seconds = reading.time_for(7_000).as_secs_f64();
     expect_that!(seconds, near(2.0, 0.05));
 }
 
 #[gtest]
 fn the_order_in_which_prompts_are_read_makes_no_engine_slow() {
-    let mut reading = Reading::default();
+    let mut reading = PrefillQueue::default();
     let ticket = |number| Ticket { entry: 1, number };
-    reading.note(ticket(1), 3_500, ms(0));
-    reading.note(ticket(2), 3_500, ms(0));
+    reading.push(ticket(1), 3_500, ms(0));
+    reading.push(ticket(2), 3_500, ms(0));
 
-    reading.read(ticket(2), ms(500));
-    reading.read(ticket(1), ms(1_000));
+    reading.on_first_token(ticket(2), ms(500));
+    reading.on_first_token(ticket(1), ms(1_000));
 
     let seconds = reading.time_for(7_000).as_secs_f64();
     expect_that!(seconds, near(1.0, 0.05));
@@ -136,19 +136,19 @@
         tokens in 100u64..5_000,
         gap_ms in 50u64..1_000,
     ) {
-        let mut reading = Reading::default();
+        let mut reading = PrefillQueue::default();
         let mut now = 0;
         for _ in 0..(20_000 / gap_ms).max(20) {
             now += gap_ms;
-            reading.note(Ticket { entry: 1, number: now }, tokens, ms(now));
+            reading.push(Ticket { entry: 1, number: now }, tokens, ms(now));
         }
 
-        let part = reading.part(ms(now + gap_ms / 2));
+        let part = reading.utilization(ms(now + gap_ms / 2));
         let given = tokens as f64 / 14.0 / gap_ms as f64;
 
         prop_assert!((part / given - 1.0).abs() < 0.3, "{part} for {given}");
-        prop_assert!(reading.part(ms(now + 20_000)) < given * 0.01);
-        prop_assert!(prefill_time(tokens) <= reading.left(ms(now)));
+        prop_assert!(reading.utilization(ms(now + 20_000)) < given * 0.01);
+        prop_assert!(prefill_time(tokens) <= reading.remaining_time(ms(now)));
     }
 }
 
--- a/crates/core/src/placement/running.rs
+++ b/crates/core/src/placement/running.rs
@@ -7,7 +7,7 @@
     endpoint::MemoryDemand,
     pace::{self, PaceMeter},
     policy::Demand,
-    reading::prefill_time,
+    prefill::prefill_time,
     scheduler::{Count, Placed, Queued, Scheduler},
 };
 use crate::{mechanism::Mechanism, units::Instant};
@@ -26,7 +26,7 @@
         if tokens == 0
             && let Some(state) = self.endpoints.get_mut(endpoint)
         {
-            state.reading.adopt(ticket, req.prompt_tokens, now);
+            state.prefill.adopt(ticket, req.prompt_tokens, now);
         }
         self.run_at(req, &endpoint.into(), now);
         self.count_tokens(ticket, tokens, now);
@@ -71,7 +71,7 @@
         memory.value = placed.memory.value;
         if let Some(endpoint) = self.endpoints.get_mut(&placed.endpoint) {
             if placed.tokens == 0 {
-                endpoint.reading.read(ticket, now);
+                endpoint.prefill.on_first_token(ticket, now);
                 self.backoffs.on_end(&placed.endpoint, placed.at, true, now);
             }
             endpoint.update(&placed.memory, &memory);
@@ -96,7 +96,7 @@
         self.count_running(&placed.req, -1);
         if let Some(endpoint) = self.endpoints.get_mut(&placed.endpoint) {
             endpoint.release(&placed.memory, now);
-            endpoint.reading.drop(ticket, now);
+            endpoint.prefill.remove(ticket, now);
             if whole {
                 endpoint.on_success();
             }
@@ -138,7 +138,7 @@
         }
         if let Some(from) = self.endpoints.get_mut(&placed.endpoint) {
             from.release(&placed.memory, now);
-            from.reading.drop(ticket, now);
+            from.prefill.remove(ticket, now);
         }
         if placed.tokens == 0 {
             self.backoffs.on_end(&placed.endpoint, placed.at, false, now);
@@ -193,12 +193,12 @@
 
     pub(super) fn place(&mut self, req: Request, endpoint: &Arc<str>, now: Instant) {
         if let Some(target) = self.targets.get_mut(&req.target) {
-            target.note_prefix(req.prefix, endpoint);
+            target.record_prefix(req.prefix, endpoint);
         }
         if let Some(state) = self.endpoints.get_mut(endpoint) {
-            state.reading.note(req.ticket, req.prompt_tokens, now);
-            state.note_prefix(req.prefix, now);
-            state.note_sent(self.senders, now);
+            state.prefill.push(req.ticket, req.prompt_tokens, now);
+            state.record_prefix(req.prefix, now);
+            state.on_sent(self.senders, now);
         }
         self.throttle.sent(endpoint, now);
         self.backoffs.on_sent(endpoint, now);
--- a/crates/core/src/placement/scheduler.rs
+++ b/crates/core/src/placement/scheduler.rs
@@ -186,7 +186,7 @@
         let first = self.placed.get(&ticket).map(|placed| placed.endpoint.clone());
         let other = self.another_for(ticket, now);
         let drawn = |endpoint: Arc<str>| {
-            let slowness = self.endpoints.get(&endpoint).map_or(1.0, |e| e.told_slowness(now));
+            let slowness = self.endpoints.get(&endpoint).map_or(1.0, |e| e.reported_slowness(now));
             SampledEndpoint { endpoint, slowness }
         };
         first.into_iter().chain(other).map(drawn).collect()
@@ -311,15 +311,12 @@
     /// other input.
     pub fn next_decision(&self) -> Option<Instant> {
         let next = self.next_expiry().into_iter().chain(self.next_evacuation());
-        next.chain(self.next_while_cold())
-            .chain(self.next_turn())
-            .chain(self.next_more_open())
-            .min()
+        next.chain(self.next_cold_send()).chain(self.next_turn()).chain(self.next_more_open()).min()
     }
 
     /// Whether an endpoint may be sent new work now, as far as it has rejected none.
     pub(super) fn may_send(&self, endpoint: &EndpointState, now: Instant) -> bool {
-        endpoint.takes_work(now) && self.throttle.takes(&endpoint.name, now)
+        endpoint.is_available(now) && self.throttle.takes(&endpoint.name, now)
     }
 
     /// When an endpoint that names a limit next takes a request, while any waits.
@@ -334,12 +331,12 @@
     }
 
     /// When a cold endpoint next takes a request, while any waits.
-    fn next_while_cold(&self) -> Option<Instant> {
+    fn next_cold_send(&self) -> Option<Instant> {
         if self.queued.is_empty() {
             return None;
         }
         let cold = self.cold.iter().filter_map(|name| self.endpoints.get(name));
-        cold.filter_map(EndpointState::next_while_cold).filter(|at| self.decided < *at).min()
+        cold.filter_map(EndpointState::next_cold_send).filter(|at| self.decided < *at).min()
     }
 
     fn start(&mut self, target: &EndpointTarget, chosen: Chosen, now: Instant) -> Option<Action> {
--- a/crates/core/src/placement/target.rs
+++ b/crates/core/src/placement/target.rs
@@ -42,7 +42,7 @@
     }
 
     /// Notes where a prompt's start will be cached.
-    pub(super) fn note_prefix(&mut self, prefix: PrefixHash, endpoint: &Arc<str>) {
+    pub(super) fn record_prefix(&mut self, prefix: PrefixHash, endpoint: &Arc<str>) {
         if MAX_PREFIXES <= self.prefix_at.len() {
             self.prefix_at.clear();
         }
--- a/crates/core/src/placement/tests.rs
+++ b/crates/core/src/placement/tests.rs
@@ -247,7 +247,7 @@
     expect_that!(moving, eq(1));
     expect_that!(state.running(), eq(0));
     expect_that!(state.kv_used(), eq(0.0));
-    expect_that!(state.takes_work(fixture::ms(2)), eq(true));
+    expect_that!(state.is_available(fixture::ms(2)), eq(true));
     // Only the one whose move was on its way is still accounted for, where it goes on.
     expect_that!(scheduler.running(), eq(1));
     expect_that!(scheduler.plan_relocations(fixture::ms(3)), is_empty());
