--- a/crates/core/src/placement/endpoint.rs
+++ b/crates/core/src/placement/endpoint.rs
@@ -10,8 +10,8 @@
     PrefixHash, SenderRole, Ticket,
     cold_start::{ColdPacer, cold_interval},
     forecast::{HORIZONS, LengthDistribution},
-    pace::Pace,
     prefill::PrefillQueue,
+    token_latency::TokenLatency,
 };
 use crate::{config::EndpointSpec, units::Instant};
 
@@ -123,7 +123,7 @@
     /// The prompts that were granted to it.
     pub(crate) prefill: PrefillQueue,
     /// How fast it makes tokens.
-    pub(crate) pace: Pace,
+    pub(crate) token_latency: TokenLatency,
     slowness_report: Option<ReportedSlowness>,
     /// The request that runs apart for which it is kept, and takes no other work.
     pub(crate) reserved_for: Option<Ticket>,
@@ -145,7 +145,7 @@
             prefixes: HashMap::new(),
             failures: 0,
             prefill: PrefillQueue::default(),
-            pace: Pace::default(),
+            token_latency: TokenLatency::default(),
             slowness_report: None,
             reserved_for: None,
         }
--- a/crates/core/src/placement/endpoint_news.rs
+++ b/crates/core/src/placement/endpoint_news.rs
@@ -43,7 +43,7 @@
         }
         self.endpoints = kept;
         let endpoints = &self.endpoints;
-        self.evacuation.leaving.retain(|name| endpoints.contains_key(name));
+        self.moves.leaving.retain(|name| endpoints.contains_key(name));
         self.cold.retain(|name| endpoints.contains_key(name));
         // Requests at an endpoint that is gone or moved are no longer accounted for.
         let gone = |p: &Placed| self.endpoints.get(&p.endpoint).is_none_or(|e| e.running == 0);
@@ -51,7 +51,7 @@
             self.placed.iter().filter(|(_, p)| gone(p)).map(|(ticket, _)| *ticket).collect();
         for ticket in tickets {
             if let Some(placed) = self.placed.remove(&ticket) {
-                self.evacuation.forget(ticket);
+                self.moves.forget(ticket);
                 self.forget_apart(ticket);
                 self.count_running(&placed.req, -1);
             }
@@ -111,9 +111,9 @@
     pub fn endpoint_leaving(&mut self, name: &str, leaving: bool) {
         let Some(endpoint) = self.endpoints.get_mut(name) else { return };
         if leaving {
-            self.evacuation.leaving.insert(endpoint.name.clone());
+            self.moves.leaving.insert(endpoint.name.clone());
         } else {
-            self.evacuation.leaving.remove(name);
+            self.moves.leaving.remove(name);
         }
         match (leaving, endpoint.health) {
             (true, _) => endpoint.health = Health::Leaving,
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -20,7 +20,6 @@
 mod evacuation;
 #[cfg(test)]
 mod evacuation_tests;
-mod fastest;
 #[cfg(test)]
 mod fixture;
 mod forecast;
@@ -32,9 +31,6 @@
 mod handover_tests;
 #[cfg(test)]
 mod in_time_tests;
-mod pace;
-#[cfg(test)]
-mod pace_tests;
 mod policy;
 mod prefill;
 #[cfg(test)]
@@ -43,9 +39,13 @@
 mod running;
 mod scheduler;
 mod sender_role;
+mod speed_baseline;
 mod target;
 #[cfg(test)]
 mod tests;
+mod token_latency;
+#[cfg(test)]
+mod token_latency_tests;
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/core/src/placement/policy/forecast.rs
+++ b/crates/core/src/placement/policy/forecast.rs
@@ -12,28 +12,29 @@
 use crate::{
     mechanism::{Disabled, Mechanism},
     placement::{
-        endpoint::EndpointState, fastest::Fastest, forecast::HORIZONS, handover::HANDOVER_COST,
+        endpoint::EndpointState, forecast::HORIZONS, handover::HANDOVER_COST_SECONDS,
+        speed_baseline::SpeedBaseline,
     },
     units::Instant,
 };
 
 /// Cost of a memory that is forecast to be full, in seconds by which a generation is held up. More
 /// spreads long answers to engines that read (0.67: 0.05 s a chat, 2: 0.3 s).
-const MEMORY_VALUE: f64 = 0.3;
+const MEMORY_COST_SECONDS: f64 = 0.3;
 
 /// A second until the first token counts for so many: a prompt also holds up those that come to its
 /// queue after it. With 1 the median of the first event is 0.8 s in place of 0.5, with 5 chats take as
 /// long as with 2.5.
-const FIRST_TOKEN_WEIGHT: f64 = 2.5;
+const TTFT_WEIGHT: f64 = 2.5;
 
 /// Cost of a first token that comes too late, in seconds by which a generation is held up: more than
 /// any wait, so that it is avoided wherever that is possible.
-const LATE_VALUE: f64 = 10.0;
+const LATE_TTFT_COST_SECONDS: f64 = 10.0;
 
 /// Part by which equal endpoints' paces differ: by how many run there, by progress that is told
 /// in steps, and by prompts that are longer than reckoned. Without it, work is steered about by
 /// noise (worth -0.003 in 48 paired days, within their interval).
-const USUAL_SPREAD: f64 = 0.5;
+const TOKEN_LATENCY_TOLERANCE: f64 = 0.5;
 
 /// Admits while the forecast of memory stays under capacity with a margin, and
 /// takes the endpoint where the least time is lost, by the request and by what runs there.
@@ -50,10 +51,10 @@
 }
 
 /// What the endpoints to choose from have in common.
-struct Usual {
-    fastest: Fastest,
+struct Baseline {
+    speeds: SpeedBaseline,
     /// Seconds that a token takes where it takes least.
-    least_token_time: f64,
+    min_token_seconds: f64,
 }
 
 impl Default for ForecastPolicy {
@@ -76,7 +77,7 @@
     /// The fullest that the endpoint is forecast to be, in parts of its memory.
     fn fullness(&self, demand: &Demand, endpoint: &EndpointState) -> f64 {
         let total = &endpoint.total;
-        let margin = self.if_on(Mechanism::ForecastMargin, self.margin);
+        let margin = self.if_enabled(Mechanism::ForecastMargin, self.margin);
         let mut most = total.used + demand.memory.used;
         for i in 0..HORIZONS.len() {
             let mean = total.mean[i] + demand.memory.mean[i];
@@ -88,14 +89,20 @@
 
     /// Whether a request may be sent there: it has room, and the first token would come in time.
     pub(super) fn fits(&self, demand: &Demand, endpoint: &EndpointState, now: Instant) -> bool {
-        let memory = endpoint.spec.kv_tokens == 0 || self.fullness(demand, endpoint) <= 1.0;
+        let memory_fits = endpoint.spec.kv_tokens == 0 || self.fullness(demand, endpoint) <= 1.0;
         // An empty endpoint takes even what the forecast finds too large.
-        let has_room = has_slot(endpoint) && (memory || endpoint.running == 0);
-        has_room && is_in_time(demand, endpoint, now)
+        let has_room = has_slot(endpoint) && (memory_fits || endpoint.running == 0);
+        has_room && meets_ttft_target(demand, endpoint, now)
     }
 
     /// Seconds lost at this endpoint.
-    fn cost(&self, demand: &Demand, endpoint: &EndpointState, all: &Usual, now: Instant) -> f64 {
+    fn cost(
+        &self,
+        demand: &Demand,
+        endpoint: &EndpointState,
+        baseline: &Baseline,
+        now: Instant,
+    ) -> f64 {
         let load = endpoint.load() as f64 / endpoint.spec.slots as f64;
         if endpoint.spec.kv_tokens == 0 {
             return load;
@@ -103,52 +110,56 @@
         let kv = endpoint.spec.kv_tokens as f64;
         let cached = endpoint.has_prefix(demand.prefix, now);
         let saved = if cached { demand.prompt_tokens as f64 / kv } else { 0.0 };
-        let crowded = self.fullness(demand, endpoint) + self.load_value * load
-            - self.if_on(Mechanism::PrefixAffinity, self.prefix_value * saved);
-        let own = MEMORY_VALUE * crowded
-            + self.time_to_first(demand, endpoint, now)
-            + self.time_to_last(demand, endpoint, all, now);
+        let load_cost = self.fullness(demand, endpoint) + self.load_value * load
+            - self.if_enabled(Mechanism::PrefixAffinity, self.prefix_value * saved);
+        let own = MEMORY_COST_SECONDS * load_cost
+            + self.ttft_cost(demand, endpoint, now)
+            + self.decode_cost(demand, endpoint, baseline, now);
         let stall = endpoint.prefill.stall_time(demand.prompt_tokens).as_secs_f64();
         if !self.disabled.allows(Mechanism::WorthWeights) {
             let others = endpoint.running as f64 * stall;
-            return own + self.if_on(Mechanism::ReadingHarm, others);
+            return own + self.if_enabled(Mechanism::ReadingHarm, others);
         }
         let others = endpoint.total.value * stall;
-        demand.memory.value * own + self.if_on(Mechanism::ReadingHarm, others)
+        demand.memory.value * own + self.if_enabled(Mechanism::ReadingHarm, others)
     }
 
     /// Seconds lost before the first token.
-    fn time_to_first(&self, demand: &Demand, endpoint: &EndpointState, now: Instant) -> f64 {
-        let first = first_token(demand, endpoint, now).as_secs_f64();
-        let within = demand.ttft_target.as_secs_f64();
-        let late = LATE_VALUE * (2.0 * first / within - 1.0).clamp(0.0, 1.0).powi(2);
-        self.if_on(Mechanism::ReadingWait, FIRST_TOKEN_WEIGHT * first)
-            + self.if_on(Mechanism::LateFirstToken, late)
+    fn ttft_cost(&self, demand: &Demand, endpoint: &EndpointState, now: Instant) -> f64 {
+        let first = expected_ttft(demand, endpoint, now).as_secs_f64();
+        let target = demand.ttft_target.as_secs_f64();
+        let late = LATE_TTFT_COST_SECONDS * (2.0 * first / target - 1.0).clamp(0.0, 1.0).powi(2);
+        self.if_enabled(Mechanism::ReadingWait, TTFT_WEIGHT * first)
+            + self.if_enabled(Mechanism::LateFirstToken, late)
     }
 
     /// Seconds lost between the tokens.
-    fn time_to_last(
+    fn decode_cost(
         &self,
         demand: &Demand,
         endpoint: &EndpointState,
-        all: &Usual,
+        baseline: &Baseline,
         now: Instant,
     ) -> f64 {
-        let token_time = all.fastest.token_time_at(endpoint, now);
-        let stays = demand.output * (token_time - all.least_token_time).max(0.0);
-        let moves = endpoint.spec.moves && self.disabled.allows(Mechanism::Handover);
-        let held_up =
-            if moves && 0 < demand.prompt_tokens { stays.min(HANDOVER_COST) } else { stays };
+        let token_seconds = baseline.speeds.expected_token_seconds(endpoint, now);
+        let slow_decode = demand.output * (token_seconds - baseline.min_token_seconds).max(0.0);
+        let can_move = endpoint.spec.moves && self.disabled.allows(Mechanism::Handover);
+        let decode_delay = if can_move && 0 < demand.prompt_tokens {
+            slow_decode.min(HANDOVER_COST_SECONDS)
+        } else {
+            slow_decode
+        };
         // What neither the prompts that it reads nor its own speed explain.
-        let explained = all.fastest.slowness_of(endpoint, now) - 1.0;
-        let slowdown = endpoint.pace.slowdown(all.fastest.pace, now);
-        let unexplained = (slowdown - explained - USUAL_SPREAD).max(0.0);
-        let slow = demand.output * all.least_token_time * unexplained;
-        self.if_on(Mechanism::ReadingAvoidance, held_up) + self.if_on(Mechanism::Pace, slow)
+        let explained = baseline.speeds.slowness(endpoint, now) - 1.0;
+        let slowdown = endpoint.token_latency.slowdown(baseline.speeds.token_seconds, now);
+        let unexplained = (slowdown - explained - TOKEN_LATENCY_TOLERANCE).max(0.0);
+        let slow = demand.output * baseline.min_token_seconds * unexplained;
+        self.if_enabled(Mechanism::ReadingAvoidance, decode_delay)
+            + self.if_enabled(Mechanism::Pace, slow)
     }
 
     /// A part of the cost, unless its mechanism is switched off.
-    fn if_on(&self, mechanism: Mechanism, cost: f64) -> f64 {
+    fn if_enabled(&self, mechanism: Mechanism, cost: f64) -> f64 {
         if self.disabled.allows(mechanism) { cost } else { 0.0 }
     }
 }
@@ -164,24 +175,25 @@
         endpoints: &[&EndpointState],
         now: Instant,
     ) -> Option<usize> {
-        let fastest = Fastest::of(endpoints, now);
-        let token_times = endpoints.iter().map(|endpoint| fastest.token_time_at(endpoint, now));
-        let least_token_time = token_times.min_by(f64::total_cmp).unwrap_or_default();
-        let all = Usual { fastest, least_token_time };
+        let speeds = SpeedBaseline::of(endpoints, now);
+        let token_seconds =
+            endpoints.iter().map(|endpoint| speeds.expected_token_seconds(endpoint, now));
+        let min_token_seconds = token_seconds.min_by(f64::total_cmp).unwrap_or_default();
+        let baseline = Baseline { speeds, min_token_seconds };
         let fits = |endpoint: &EndpointState| self.fits(demand, endpoint, now);
-        least(endpoints, fits, |endpoint| self.cost(demand, endpoint, &all, now))
+        least(endpoints, fits, |endpoint| self.cost(demand, endpoint, &baseline, now))
     }
 }
 
 /// Whether the first token would come in time, or late wherever it is sent.
-fn is_in_time(demand: &Demand, endpoint: &EndpointState, now: Instant) -> bool {
-    let within = demand.ttft_target;
-    let is_late_anyway = within < endpoint.prefill.time_for(demand.prompt_tokens);
-    demand.prompt_tokens == 0 || is_late_anyway || first_token(demand, endpoint, now) <= within
+fn meets_ttft_target(demand: &Demand, endpoint: &EndpointState, now: Instant) -> bool {
+    let target = demand.ttft_target;
+    let always_late = target < endpoint.prefill.time_for(demand.prompt_tokens);
+    demand.prompt_tokens == 0 || always_late || expected_ttft(demand, endpoint, now) <= target
 }
 
 /// Time until the first token of a request that is sent there now (measured: 90% come within 1.3 times
 /// this, also where engines read all the time).
-fn first_token(demand: &Demand, endpoint: &EndpointState, now: Instant) -> Duration {
+fn expected_ttft(demand: &Demand, endpoint: &EndpointState, now: Instant) -> Duration {
     endpoint.prefill.remaining_time(now) + endpoint.prefill.time_for(demand.prompt_tokens)
 }
--- a/crates/core/src/placement/running.rs
+++ b/crates/core/src/placement/running.rs
@@ -5,10 +5,10 @@
 use super::{
     Request, Ticket,
     endpoint::MemoryDemand,
-    pace::{self, PaceMeter},
     policy::Demand,
     prefill::prefill_time,
     scheduler::{Count, Placed, Queued, Scheduler},
+    token_latency::{self, TokenLatencyMeter},
 };
 use crate::{mechanism::Mechanism, units::Instant};
 
@@ -40,8 +40,11 @@
         now: Instant,
     ) -> f64 {
         let making = within.saturating_sub(prefill_time(req.prompt_tokens)).as_secs_f64();
-        let paces = self.endpoints.values().filter_map(|endpoint| endpoint.pace.per_token(now));
-        let slowest = paces.max_by(f64::total_cmp).unwrap_or(pace::USUAL);
+        let paces = self
+            .endpoints
+            .values()
+            .filter_map(|endpoint| endpoint.token_latency.seconds_per_token(now));
+        let slowest = paces.max_by(f64::total_cmp).unwrap_or(token_latency::DEFAULT_TOKEN_SECONDS);
         let tokens = (making / slowest) as u64;
         if req.max_tokens <= tokens {
             return 1.0;
@@ -53,7 +56,7 @@
     pub fn progress(&mut self, ticket: Ticket, tokens: u64, now: Instant) {
         let Some(placed) = self.placed.get(&ticket) else { return };
         if placed.tokens == 0 && 0 < tokens && self.limits.disabled.allows(Mechanism::Handover) {
-            self.handover.begun(ticket, now);
+            self.handover.on_first_token(ticket, now);
         }
         self.count_tokens(ticket, tokens, now);
         self.note_begin_apart(ticket, tokens);
@@ -75,7 +78,7 @@
                 self.backoffs.on_end(&placed.endpoint, placed.at, true, now);
             }
             endpoint.update(&placed.memory, &memory);
-            placed.meter.measure(tokens, now, &mut endpoint.pace);
+            placed.meter.observe(tokens, now, &mut endpoint.token_latency);
         }
         if let Some(target) = self.targets.get_mut(&req.target) {
             target.queue.charge(req.rank, &req.workspace, req.share, tokens - placed.tokens);
@@ -91,7 +94,7 @@
         if placed.tokens == 0 {
             self.backoffs.on_end(&placed.endpoint, placed.at, false, now);
         }
-        self.evacuation.forget(ticket);
+        self.moves.forget(ticket);
         self.forget_apart(ticket);
         self.count_running(&placed.req, -1);
         if let Some(endpoint) = self.endpoints.get_mut(&placed.endpoint) {
@@ -146,7 +149,7 @@
         }
         placed.at = now;
         placed.endpoint = to.clone();
-        placed.meter = PaceMeter::default();
+        placed.meter = TokenLatencyMeter::default();
         if let Some(state) = self.endpoints.get_mut(to) {
             state.grant(&placed.memory, now);
         }
@@ -212,7 +215,7 @@
             Demand::new(&req, self.forecast.distribution(&req.workspace, &req.kind)).memory;
         state.grant(&memory, now);
         self.count_running(&req, 1);
-        let meter = PaceMeter::default();
+        let meter = TokenLatencyMeter::default();
         let placed = Placed { endpoint: endpoint.clone(), memory, tokens: 0, meter, at: now, req };
         self.placed.insert(placed.req.ticket, placed);
     }
--- a/crates/core/src/placement/scheduler.rs
+++ b/crates/core/src/placement/scheduler.rs
@@ -11,13 +11,13 @@
     apart::Apart,
     backoff::{Candidates, Held},
     endpoint::{EndpointState, MemoryDemand},
-    evacuation::Evacuation,
+    evacuation::MoveTracker,
     forecast::LengthForecast,
     giving_up::overloaded,
-    handover::Handover,
-    pace::PaceMeter,
+    handover::HandoverQueue,
     policy::{Demand, ForecastPolicy, Policy, PowerOfTwoChoices},
     target::Target,
+    token_latency::TokenLatencyMeter,
 };
 use crate::{
     backoff::{BackoffTable, RetrySpreader},
@@ -60,7 +60,7 @@
     pub(super) endpoint: Arc<str>,
     pub(super) memory: MemoryDemand,
     pub(super) tokens: u64,
-    pub(super) meter: PaceMeter,
+    pub(super) meter: TokenLatencyMeter,
     /// When it was placed there.
     pub(super) at: Instant,
 }
@@ -112,8 +112,8 @@
     pub(super) queued: HashMap<Ticket, Queued>,
     pub(super) expiries: BTreeSet<Expiry>,
     pub(super) placed: HashMap<Ticket, Placed>,
-    pub(super) evacuation: Evacuation,
-    pub(super) handover: Handover,
+    pub(super) moves: MoveTracker,
+    pub(super) handover: HandoverQueue,
     pub(super) apart: Apart,
     pub(super) counts: HashMap<Arc<str>, Count>,
     /// Endpoints that are cold, or were lately: few of many.
@@ -147,8 +147,8 @@
             queued: HashMap::new(),
             expiries: BTreeSet::new(),
             placed: HashMap::new(),
-            evacuation: Evacuation::default(),
-            handover: Handover::default(),
+            moves: MoveTracker::default(),
+            handover: HandoverQueue::default(),
             apart: Apart::default(),
             counts: HashMap::new(),
             cold: BTreeSet::new(),
@@ -310,7 +310,7 @@
     /// When [`Scheduler::decide`] and [`Scheduler::plan_relocations`] must be called even without
     /// other input.
     pub fn next_decision(&self) -> Option<Instant> {
-        let next = self.next_expiry().into_iter().chain(self.next_evacuation());
+        let next = self.next_expiry().into_iter().chain(self.next_plan_at());
         next.chain(self.next_cold_send()).chain(self.next_turn()).chain(self.next_more_open()).min()
     }
 
--- a/crates/core/src/placement/fastest.rs
+++ b/crates/core/src/placement/speed_baseline.rs
@@ -7,40 +7,44 @@
 //! Taking it into account took the time between events of long answers from 40.5 to 37 ms where a third
 //! of 122 engines takes 1.3 times as long for everything (`trayswitch-lab fleet --leaving`, 8 seeds).
 
-use super::{endpoint::EndpointState, pace};
+use super::{endpoint::EndpointState, token_latency};
 use crate::units::Instant;
 
 /// Beyond this part of its time spent on reading, an endpoint's slowness is all put down to it.
-const MOST_READING: f64 = 0.8;
+const MAX_PREFILL_UTILIZATION: f64 = 0.8;
 
 /// The fastest of some endpoints.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Fastest {
+pub(super) struct SpeedBaseline {
     /// Seconds for a token, if any was measured lately.
-    pub(super) pace: Option<f64>,
+    pub(super) token_seconds: Option<f64>,
     /// Prompt tokens read in a second, if any was measured.
-    speed: Option<f64>,
+    prefill_speed: Option<f64>,
 }
 
-impl Fastest {
+impl SpeedBaseline {
     /// The fastest of these.
-    pub(super) fn of(endpoints: &[&EndpointState], now: Instant) -> Fastest {
+    pub(super) fn of(endpoints: &[&EndpointState], now: Instant) -> SpeedBaseline {
         let speeds =
             endpoints.iter().filter_map(|endpoint| endpoint.prefill.measured_tokens_per_second());
-        Fastest { pace: pace::fastest(endpoints, now), speed: speeds.max_by(f64::total_cmp) }
+        SpeedBaseline {
+            token_seconds: token_latency::lowest(endpoints, now),
+            prefill_speed: speeds.max_by(f64::total_cmp),
+        }
     }
 
     /// Seconds that a token takes at an endpoint, by what it reads and by its own speed.
-    pub(super) fn token_time_at(&self, endpoint: &EndpointState, now: Instant) -> f64 {
-        self.pace.unwrap_or(pace::USUAL) * self.slowness_of(endpoint, now)
+    pub(super) fn expected_token_seconds(&self, endpoint: &EndpointState, now: Instant) -> f64 {
+        self.token_seconds.unwrap_or(token_latency::DEFAULT_TOKEN_SECONDS)
+            * self.slowness(endpoint, now)
     }
 
     /// The same as a part of the fastest's time.
-    pub(super) fn slowness_of(&self, endpoint: &EndpointState, now: Instant) -> f64 {
-        let own = match (self.speed, endpoint.prefill.measured_tokens_per_second()) {
+    pub(super) fn slowness(&self, endpoint: &EndpointState, now: Instant) -> f64 {
+        let own = match (self.prefill_speed, endpoint.prefill.measured_tokens_per_second()) {
             (Some(fastest), Some(speed)) => fastest / speed,
             _ => endpoint.reported_slowness(now),
         };
-        own / (1.0 - endpoint.prefill.utilization(now).min(MOST_READING))
+        own / (1.0 - endpoint.prefill.utilization(now).min(MAX_PREFILL_UTILIZATION))
     }
 }
--- a/crates/core/src/placement/pace_tests.rs
+++ b/crates/core/src/placement/token_latency_tests.rs
@@ -5,15 +5,15 @@
 use super::{
     Action, Request, Scheduler, fixture,
     fixture::{ms, scheduler},
-    pace::{Pace, PaceMeter},
+    token_latency::{TokenLatency, TokenLatencyMeter},
 };
 use crate::units::Instant;
 
 /// The pace of an endpoint after a stream had these many tokens at these times, in ms.
-fn pace_after(progress: &[(u64, u64)]) -> Pace {
-    let (mut pace, mut meter) = (Pace::default(), PaceMeter::default());
+fn pace_after(progress: &[(u64, u64)]) -> TokenLatency {
+    let (mut pace, mut meter) = (TokenLatency::default(), TokenLatencyMeter::default());
     for (at, tokens) in progress {
-        meter.measure(*tokens, ms(*at), &mut pace);
+        meter.observe(*tokens, ms(*at), &mut pace);
     }
     pace
 }
@@ -69,14 +69,14 @@
 fn a_pace_is_the_time_for_a_token() {
     let pace = pace_after(&[(0, 0), (1_000, 100), (2_000, 200)]);
 
-    expect_that!(pace.per_token(ms(2_000)), some(approx_eq(0.010)));
+    expect_that!(pace.seconds_per_token(ms(2_000)), some(approx_eq(0.010)));
 }
 
 #[gtest]
 fn what_was_told_in_quick_succession_counts_as_one_span() {
     let pace = pace_after(&[(0, 0), (10, 32), (20, 64), (1_000, 100)]);
 
-    expect_that!(pace.per_token(ms(1_000)), some(approx_eq(0.010)));
+    expect_that!(pace.seconds_per_token(ms(1_000)), some(approx_eq(0.010)));
 }
 
 #[gtest]
@@ -85,22 +85,22 @@
     let after = pace_after(&[(0, 0), (1_000, 100), (21_000, 200), (22_000, 300), (23_000, 400)]);
 
     // The span of 20 s counts for no more than five times the pace.
-    expect_that!(suspended.per_token(ms(21_000)), some(le(0.03)));
-    expect_that!(after.per_token(ms(23_000)), some(le(0.02)));
+    expect_that!(suspended.seconds_per_token(ms(21_000)), some(le(0.03)));
+    expect_that!(after.seconds_per_token(ms(23_000)), some(le(0.02)));
 }
 
 #[gtest]
 fn a_span_longer_than_what_is_remembered_counts_for_nothing() {
     let suspended = pace_after(&[(0, 0), (1_000, 100), (61_000, 200)]);
 
-    expect_that!(suspended.per_token(ms(61_000)), none());
+    expect_that!(suspended.seconds_per_token(ms(61_000)), none());
 }
 
 #[gtest]
 fn what_is_not_known_is_not_slow() {
     let known = pace_after(&[(0, 0), (1_000, 100)]);
 
-    expect_that!(Pace::default().slowdown(Some(0.01), ms(1_000)), eq(0.0));
+    expect_that!(TokenLatency::default().slowdown(Some(0.01), ms(1_000)), eq(0.0));
     expect_that!(known.slowdown(None, ms(1_000)), eq(0.0));
     expect_that!(known.slowdown(Some(0.005), ms(1_000)), approx_eq(1.0));
 }
