--- a/crates/core/src/placement/running.rs
+++ b/crates/core/src/placement/accounting.rs
@@ -7,7 +7,7 @@
     endpoint::MemoryDemand,
     policy::Demand,
     prefill::prefill_time,
-    scheduler::{Count, Placed, Queued, Scheduler},
+    scheduler::{PlacedRequest, QueuePosition, Scheduler, WorkspaceCounts},
     token_latency::{self, TokenLatencyMeter},
 };
 use crate::{mechanism::Mechanism, units::Instant};
@@ -28,8 +28,8 @@
         {
             state.prefill.adopt(ticket, req.prompt_tokens, now);
         }
-        self.run_at(req, &endpoint.into(), now);
-        self.count_tokens(ticket, tokens, now);
+        self.account_placed(req, &endpoint.into(), now);
+        self.record_tokens(ticket, tokens, now);
     }
 
     /// The chance that an answer to this request would end within this time.
@@ -39,13 +39,14 @@
         within: Duration,
         now: Instant,
     ) -> f64 {
-        let making = within.saturating_sub(prefill_time(req.prompt_tokens)).as_secs_f64();
-        let paces = self
+        let decode_time = within.saturating_sub(prefill_time(req.prompt_tokens)).as_secs_f64();
+        let token_seconds = self
             .endpoints
             .values()
             .filter_map(|endpoint| endpoint.token_latency.seconds_per_token(now));
-        let slowest = paces.max_by(f64::total_cmp).unwrap_or(token_latency::DEFAULT_TOKEN_SECONDS);
-        let tokens = (making / slowest) as u64;
+        let slowest =
+            token_seconds.max_by(f64::total_cmp).unwrap_or(token_latency::DEFAULT_TOKEN_SECONDS);
+        let tokens = (decode_time / slowest) as u64;
         if req.max_tokens <= tokens {
             return 1.0;
         }
@@ -58,11 +59,11 @@
         if placed.tokens == 0 && 0 < tokens && self.limits.disabled.allows(Mechanism::Handover) {
             self.handover.on_first_token(ticket, now);
         }
-        self.count_tokens(ticket, tokens, now);
-        self.note_begin_apart(ticket, tokens);
+        self.record_tokens(ticket, tokens, now);
+        self.on_isolated_progress(ticket, tokens);
     }
 
-    fn count_tokens(&mut self, ticket: Ticket, tokens: u64, now: Instant) {
+    fn record_tokens(&mut self, ticket: Ticket, tokens: u64, now: Instant) {
         let Some(placed) = self.placed.get_mut(&ticket) else { return };
         if tokens <= placed.tokens {
             return;
@@ -95,7 +96,7 @@
             self.backoffs.on_end(&placed.endpoint, placed.at, false, now);
         }
         self.moves.forget(ticket);
-        self.forget_apart(ticket);
+        self.forget_isolated(ticket);
         self.count_running(&placed.req, -1);
         if let Some(endpoint) = self.endpoints.get_mut(&placed.endpoint) {
             endpoint.release(&placed.memory, now);
@@ -112,9 +113,9 @@
     /// Forgets a waiting or running request whose caller has left.
     pub fn cancel(&mut self, ticket: Ticket, now: Instant) {
         if let Some(queued) = self.queued.remove(&ticket) {
-            self.no_longer_waits(&queued);
-            self.forget_apart(ticket);
-            self.forget_held(ticket);
+            self.on_dequeued(&queued);
+            self.forget_isolated(ticket);
+            self.remove_held(ticket);
             if let Some(target) = self.targets.get_mut(&queued.target) {
                 target.queue.remove(queued.rank, &queued.workspace, ticket);
             }
@@ -156,7 +157,7 @@
     }
 
     /// What a running request still needs of an endpoint that goes on with it.
-    pub(super) fn rest_of(&self, placed: &Placed) -> Demand {
+    pub(super) fn remaining_demand(&self, placed: &PlacedRequest) -> Demand {
         let req = &placed.req;
         let distribution = self.forecast.distribution(&req.workspace, &req.kind);
         Demand {
@@ -168,27 +169,27 @@
         }
     }
 
-    pub(super) fn no_longer_waits(&mut self, queued: &Queued) {
+    pub(super) fn on_dequeued(&mut self, queued: &QueuePosition) {
         self.expiries.remove(&queued.expiry);
         if let Some(count) = self.counts.get_mut(&queued.workspace) {
             count.waiting -= 1;
         }
-        self.forget_idle(&queued.workspace);
+        self.remove_if_idle(&queued.workspace);
     }
 
     /// Counts a request as running or no longer so, and holds its workspace back at the limit.
     pub(super) fn count_running(&mut self, req: &Request, change: i64) {
         let count = self.counts.entry(req.workspace.clone()).or_default();
         count.running = count.running.saturating_add_signed(change);
-        let hold = req.max_running <= count.running;
+        let at_limit = req.max_running <= count.running;
         for target in self.targets.values_mut() {
-            target.queue.hold(&req.workspace, hold);
+            target.queue.set_at_limit(&req.workspace, at_limit);
         }
-        self.forget_idle(&req.workspace);
+        self.remove_if_idle(&req.workspace);
     }
 
-    fn forget_idle(&mut self, workspace: &Arc<str>) {
-        let idle = |count: &Count| count.running == 0 && count.waiting == 0;
+    fn remove_if_idle(&mut self, workspace: &Arc<str>) {
+        let idle = |count: &WorkspaceCounts| count.running == 0 && count.waiting == 0;
         if self.counts.get(workspace).is_some_and(idle) {
             self.counts.remove(workspace);
         }
@@ -201,22 +202,23 @@
         if let Some(state) = self.endpoints.get_mut(endpoint) {
             state.prefill.push(req.ticket, req.prompt_tokens, now);
             state.record_prefix(req.prefix, now);
-            state.on_sent(self.senders, now);
+            state.on_sent(self.sender_role, now);
         }
         self.throttle.sent(endpoint, now);
         self.backoffs.on_sent(endpoint, now);
-        self.run_at(req, endpoint, now);
+        self.account_placed(req, endpoint, now);
     }
 
     /// Accounts for a request that runs at an endpoint from now on.
-    fn run_at(&mut self, req: Request, endpoint: &Arc<str>, now: Instant) {
+    fn account_placed(&mut self, req: Request, endpoint: &Arc<str>, now: Instant) {
         let Some(state) = self.endpoints.get_mut(endpoint) else { return };
         let memory =
             Demand::new(&req, self.forecast.distribution(&req.workspace, &req.kind)).memory;
         state.grant(&memory, now);
         self.count_running(&req, 1);
         let meter = TokenLatencyMeter::default();
-        let placed = Placed { endpoint: endpoint.clone(), memory, tokens: 0, meter, at: now, req };
+        let placed =
+            PlacedRequest { endpoint: endpoint.clone(), memory, tokens: 0, meter, at: now, req };
         self.placed.insert(placed.req.ticket, placed);
     }
 }
--- a/crates/core/src/placement/backoff.rs
+++ b/crates/core/src/placement/backoff.rs
@@ -5,7 +5,7 @@
 use super::{
     Action, Request, Ticket,
     endpoint::EndpointState,
-    giving_up::overloaded,
+    expiry::overloaded_error,
     policy::{Demand, Policy},
     scheduler::Scheduler,
 };
@@ -18,46 +18,46 @@
 };
 
 /// Pause between two looks at an endpoint that has yet to answer another request.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A request that waits until an endpoint takes requests of its daemon again.
 #[derive(Debug)]
-pub(super) struct Held {
+pub(super) struct HeldRequest {
     req: Request,
     arrived: Instant,
     until: Instant,
 }
 
 /// The endpoints that a request may be sent to now, the better ones apart from others.
-pub(super) struct Candidates<'a> {
+pub(super) struct AdmissionGroups<'a> {
     open: Vec<&'a EndpointState>,
     last_resort: Vec<&'a EndpointState>,
     /// Those that have rejected it, or failed: used if there are no others, whether these have room or not.
     avoided: Vec<&'a EndpointState>,
 }
 
-impl<'a> Candidates<'a> {
+impl<'a> AdmissionGroups<'a> {
     pub(super) fn new(
         endpoints: impl Iterator<Item = &'a EndpointState>,
         req: &Request,
         admission: impl Fn(&EndpointState) -> Option<Admission>,
-    ) -> Candidates<'a> {
-        let mut candidates =
-            Candidates { open: Vec::new(), last_resort: Vec::new(), avoided: Vec::new() };
+    ) -> AdmissionGroups<'a> {
+        let mut groups =
+            AdmissionGroups { open: Vec::new(), last_resort: Vec::new(), avoided: Vec::new() };
         for endpoint in endpoints {
             let group = match admission(endpoint) {
                 Some(Admission::Open | Admission::LastResort)
                     if req.avoid.contains(&endpoint.name) =>
                 {
-                    &mut candidates.avoided
+                    &mut groups.avoided
                 }
-                Some(Admission::Open) => &mut candidates.open,
-                Some(Admission::LastResort) => &mut candidates.last_resort,
+                Some(Admission::Open) => &mut groups.open,
+                Some(Admission::LastResort) => &mut groups.last_resort,
                 Some(Admission::Busy | Admission::BackedOff(_)) | None => continue,
             };
             group.push(endpoint);
         }
-        candidates
+        groups
     }
 
     /// The best one with room.
@@ -67,8 +67,8 @@
         policy: &mut dyn Policy,
         now: Instant,
     ) -> Option<Arc<str>> {
-        let is_last = self.open.is_empty() && self.last_resort.is_empty();
-        let avoided = if is_last { &self.avoided[..] } else { &[] };
+        let only_avoided = self.open.is_empty() && self.last_resort.is_empty();
+        let avoided = if only_avoided { &self.avoided[..] } else { &[] };
         let mut groups = [&self.open[..], &self.last_resort, avoided].into_iter();
         groups.find_map(|group| Some(group[policy.choose(demand, group, now)?].name.clone()))
     }
@@ -86,9 +86,9 @@
     }
 
     /// Forgets what runs of endpoints have said in answers that are not there any more.
-    pub(crate) fn retain_runs(&mut self, is_there: impl Fn(&str, u64) -> bool, now: Instant) {
-        self.throttle.retain(|word| is_there(&word.endpoint, word.born), now);
-        self.backoffs.retain(is_there, now);
+    pub(crate) fn retain_runs(&mut self, is_current: impl Fn(&str, u64) -> bool, now: Instant) {
+        self.throttle.retain(|word| is_current(&word.endpoint, word.born), now);
+        self.backoffs.retain(is_current, now);
     }
 
     /// Whether a request of a daemon may be sent to an endpoint now; nothing if it takes none for other reasons.
@@ -123,39 +123,44 @@
         }
         let target = self.targets.get(&req.target)?;
         let usable = target.endpoints.iter().filter_map(|name| self.endpoints.get(name));
-        let (mut first, mut backs_off) = (None::<Instant>, false);
+        let (mut earliest, mut any_backed_off) = (None::<Instant>, false);
         for endpoint in usable.filter(|endpoint| endpoint.is_usable(now)) {
             let until = match self.admission_of(&endpoint.name, req.ticket.entry, now) {
                 Admission::Open | Admission::LastResort => return None,
-                Admission::Busy => now.after(LOOK_AGAIN),
+                Admission::Busy => now.after(RECHECK_INTERVAL),
                 Admission::BackedOff(until) => {
-                    backs_off = true;
+                    any_backed_off = true;
                     until
                 }
             };
-            first = Some(first.map_or(until, |first| first.min(until)));
+            earliest = Some(earliest.map_or(until, |earliest| earliest.min(until)));
         }
-        first.filter(|_| backs_off)
+        earliest.filter(|_| any_backed_off)
     }
 
     /// Takes a request that no endpoint takes before then out of the queue, so that it holds up nobody, and lets
     /// it wait beside the queue if it can.
-    pub(super) fn hold(&mut self, ticket: Ticket, until: Instant, now: Instant) -> Option<Action> {
+    pub(super) fn hold_until(
+        &mut self,
+        ticket: Ticket,
+        until: Instant,
+        now: Instant,
+    ) -> Option<Action> {
         let queued = self.queued.get(&ticket)?;
         let (rank, expires) = (queued.rank, queued.expiry.at);
         let target = self.targets.get_mut(&queued.target)?;
         let waiting = target.queue.remove(rank, &queued.workspace, ticket)?;
         if until <= expires {
-            self.held.push(Held { req: waiting.req, arrived: waiting.arrived, until });
+            self.held.push(HeldRequest { req: waiting.req, arrived: waiting.arrived, until });
             return None;
         }
-        let error = self.all_back_off(&waiting.req.target, until, now);
+        let error = self.backed_off_error(&waiting.req.target, until, now);
         self.cancel(ticket, now);
         Some(Action::GiveUp { ticket, error })
     }
 
     /// Puts requests whose wait is over back into the queue.
-    pub(super) fn let_held_go_on(&mut self, now: Instant) {
+    pub(super) fn requeue_held(&mut self, now: Instant) {
         for held in std::mem::take(&mut self.held) {
             if now < held.until {
                 self.held.push(held);
@@ -166,22 +171,22 @@
     }
 
     /// Forgets a request that waits no more.
-    pub(super) fn forget_held(&mut self, ticket: Ticket) {
+    pub(super) fn remove_held(&mut self, ticket: Ticket) {
         self.held.retain(|held| held.req.ticket != ticket);
     }
 
     /// When an endpoint that has rejected requests becomes more open, while any wait.
-    pub(super) fn next_more_open(&self) -> Option<Instant> {
+    pub(super) fn next_backoff_change(&self) -> Option<Instant> {
         if self.queued.is_empty() {
             return None;
         }
         let held = self.held.iter().map(|held| held.until);
-        held.chain(self.backoffs.next_change(self.decided)).min()
+        held.chain(self.backoffs.next_change(self.last_decision)).min()
     }
 
     /// The error for a request whose daemon every endpoint has asked to back off until then at least. The more are
     /// refused at the same time, the later they are told to come back.
-    pub(super) fn all_back_off(
+    pub(super) fn backed_off_error(
         &mut self,
         target: &EndpointTarget,
         until: Instant,
@@ -194,6 +199,6 @@
             target.name(),
             wait.as_millis()
         );
-        overloaded(&message, wait)
+        overloaded_error(&message, wait)
     }
 }
--- a/crates/core/src/placement/cold_start.rs
+++ b/crates/core/src/placement/cold_start.rs
@@ -15,11 +15,11 @@
 /// Who sends which part of what a cold endpoint bears. Some daemons may choose by themselves while others
 /// reach the scheduler; both parts together are 1.3 times what an endpoint bears, and one falls over well above
 /// that. The random times of 300 daemons spread by a fifth (20 requests a second, one deviation).
-const PARTS: RateSplit = RateSplit { scheduler: 0.8, daemons: 0.5 };
+const RATE_SPLIT: RateSplit = RateSplit { scheduler: 0.8, daemons: 0.5 };
 
 /// Time between two requests of one sender to the same cold endpoint.
-pub fn cold_interval(senders: SenderRole, bears: ColdStart) -> Duration {
-    senders.interval(bears.interval, PARTS)
+pub fn cold_interval(role: SenderRole, cold_start: ColdStart) -> Duration {
+    role.interval(cold_start.interval, RATE_SPLIT)
 }
 
 /// An endpoint that is cold, as one sender knows it.
--- a/crates/core/src/placement/endpoint_news.rs
+++ b/crates/core/src/placement/endpoint_updates.rs
@@ -9,7 +9,7 @@
 use super::{
     SenderRole, Ticket,
     endpoint::{EndpointState, Health, LoadReport},
-    scheduler::{Placed, Scheduler},
+    scheduler::{PlacedRequest, Scheduler},
 };
 use crate::{
     config::{EndpointSpec, Endpoints},
@@ -19,7 +19,7 @@
 
 /// Daemons are told of an endpoint that takes this many times as long as the middle one: equal ones
 /// differ by up to 1.1 in their speed of reading, by what else runs there.
-const TOLD_SLOW_FROM: f64 = 1.15;
+const MIN_REPORTED_SLOWNESS: f64 = 1.15;
 
 impl Scheduler {
     /// Takes the endpoints of an accepted configuration; what runs goes on.
@@ -27,7 +27,7 @@
         for target in self.targets.values_mut() {
             target.endpoints.clear();
         }
-        let mut kept = HashMap::new();
+        let mut states = HashMap::new();
         for (name, spec) in endpoints {
             let name: Arc<str> = name.as_str().into();
             let target = self.targets.entry(spec.target.clone()).or_default();
@@ -39,20 +39,21 @@
                 }
                 _ => EndpointState::new(name.clone(), spec.clone()),
             };
-            kept.insert(name, state);
+            states.insert(name, state);
         }
-        self.endpoints = kept;
+        self.endpoints = states;
         let endpoints = &self.endpoints;
         self.moves.leaving.retain(|name| endpoints.contains_key(name));
         self.cold.retain(|name| endpoints.contains_key(name));
         // Requests at an endpoint that is gone or moved are no longer accounted for.
-        let gone = |p: &Placed| self.endpoints.get(&p.endpoint).is_none_or(|e| e.running == 0);
+        let gone =
+            |p: &PlacedRequest| self.endpoints.get(&p.endpoint).is_none_or(|e| e.running == 0);
         let tickets: Vec<Ticket> =
             self.placed.iter().filter(|(_, p)| gone(p)).map(|(ticket, _)| *ticket).collect();
         for ticket in tickets {
             if let Some(placed) = self.placed.remove(&ticket) {
                 self.moves.forget(ticket);
-                self.forget_apart(ticket);
+                self.forget_isolated(ticket);
                 self.count_running(&placed.req, -1);
             }
         }
@@ -70,30 +71,30 @@
     pub fn endpoint_failed(&mut self, name: &str, now: Instant) {
         let Some(endpoint) = self.endpoints.get_mut(name) else { return };
         let Some(until) = endpoint.on_failure(now) else { return };
-        if let Some(bears) = endpoint.spec.cold_start {
+        if let Some(cold_start) = endpoint.spec.cold_start {
             // It may have started anew when it is tried again, and says so only later.
-            self.cool(name, until.after(bears.lasts), until);
+            self.mark_cold(name, until.after(cold_start.lasts), until);
         }
     }
 
     /// Takes an endpoint's word that it is cold until then.
     pub fn endpoint_cold(&mut self, name: &str, until: Instant, now: Instant) {
         if now < until {
-            self.cool(name, until, now);
+            self.mark_cold(name, until, now);
         }
     }
 
     /// Tells the scheduler with whom it shares what cold endpoints bear and limits allow.
-    pub fn set_sender_role(&mut self, senders: SenderRole, now: Instant) {
-        self.senders = senders;
-        self.throttle.set_senders(senders, now);
+    pub fn set_sender_role(&mut self, role: SenderRole, now: Instant) {
+        self.sender_role = role;
+        self.throttle.set_senders(role, now);
     }
 
     /// An endpoint is cold from `since` on, until then.
-    fn cool(&mut self, name: &str, until: Instant, since: Instant) {
-        let part = self.cold_phase(name, until);
+    fn mark_cold(&mut self, name: &str, until: Instant, since: Instant) {
+        let phase = self.cold_phase(name, until);
         if let Some(endpoint) = self.endpoints.get_mut(name) {
-            endpoint.set_cold(until, self.senders, part, since);
+            endpoint.set_cold(until, self.sender_role, phase, since);
             self.cold.insert(endpoint.name.clone());
         }
     }
@@ -101,7 +102,7 @@
     /// The part of the time between two requests after which the first one is due: none for a
     /// scheduler of all daemons, another one for each daemon and endpoint without it.
     fn cold_phase(&self, name: &str, until: Instant) -> f64 {
-        let Some(seed) = self.alone else { return 0.0 };
+        let Some(seed) = self.local_seed else { return 0.0 };
         let mut hasher = DefaultHasher::new();
         (seed, name, until.0).hash(&mut hasher);
         hasher.finish() as f64 / u64::MAX as f64
@@ -140,9 +141,9 @@
             let mut speeds: Vec<_> = target.endpoints.iter().filter_map(measured).collect();
             speeds.sort_by(|a, b| a.1.total_cmp(&b.1));
             // The fastest of many is one that was measured badly.
-            let Some((_, usual)) = speeds.get(speeds.len() / 2).cloned() else { continue };
-            let slower = speeds.into_iter().map(|(name, speed)| (name, usual / speed));
-            slow.extend(slower.take_while(|(_, slowness)| TOLD_SLOW_FROM < *slowness));
+            let Some((_, median)) = speeds.get(speeds.len() / 2).cloned() else { continue };
+            let slower = speeds.into_iter().map(|(name, speed)| (name, median / speed));
+            slow.extend(slower.take_while(|(_, slowness)| MIN_REPORTED_SLOWNESS < *slowness));
         }
         slow
     }
--- a/crates/core/src/placement/engine_choice.rs
+++ b/crates/core/src/placement/engine_choice.rs
@@ -12,13 +12,13 @@
 
 /// Cost of a full memory, in seconds of waiting for prompts to be read: engines with much free memory
 /// push nothing aside. Between 0.2 and 2 s no difference beyond 0.01 of the worth was measured.
-const MEMORY_VALUE: f64 = 0.4;
+const MEMORY_COST_SECONDS: f64 = 0.4;
 /// An engine whose memory would be fuller than this comes last: what runs there grows.
-const NEARLY_FULL: f64 = 0.9;
+const FULL_FRACTION: f64 = 0.9;
 /// An engine whose memory would be fuller than this is asked to keep a place: its report is half a second
 /// old, and it may have none. What has a place goes ahead of all that waits to be read; with places at
 /// every engine the earlier requests waited (worth served in a burst 0.92 in place of 0.89).
-const TIGHT: f64 = 0.7;
+const RESERVATION_FRACTION: f64 = 0.7;
 
 /// What an engine tells of its load; true some hundred milliseconds ago.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -49,21 +49,21 @@
 impl EngineLoad {
     /// Seconds lost by a prompt of this length there.
     fn cost(&self, prompt_tokens: u64, slowness: f64) -> f64 {
-        let unread = prefill_time(self.unread_tokens).as_secs_f64() * slowness;
-        unread + MEMORY_VALUE * self.fullness(prompt_tokens)
+        let prefill = prefill_time(self.unread_tokens).as_secs_f64() * slowness;
+        prefill + MEMORY_COST_SECONDS * self.memory_fraction(prompt_tokens)
     }
 
     /// Whether a prompt of this length would have to wait there for memory.
     fn is_full(&self, prompt_tokens: u64) -> bool {
-        NEARLY_FULL < self.fullness(prompt_tokens)
+        FULL_FRACTION < self.memory_fraction(prompt_tokens)
     }
 
     /// Whether it must be asked for a place before a prompt of this length is sent there.
     pub fn needs_reservation(&self, prompt_tokens: u64) -> bool {
-        TIGHT < self.fullness(prompt_tokens)
+        RESERVATION_FRACTION < self.memory_fraction(prompt_tokens)
     }
 
-    fn fullness(&self, prompt_tokens: u64) -> f64 {
+    fn memory_fraction(&self, prompt_tokens: u64) -> f64 {
         self.kv_used.saturating_add(prompt_tokens) as f64 / self.kv_tokens.max(1) as f64
     }
 }
--- a/crates/core/src/placement/evacuation.rs
+++ b/crates/core/src/placement/evacuation.rs
@@ -14,7 +14,7 @@
     Scheduler, Ticket,
     endpoint::{EndpointState, Health},
     forecast::generation_value,
-    scheduler::Placed,
+    scheduler::PlacedRequest,
 };
 use crate::{backoff::Admission, mechanism::Mechanism, units::Instant};
 
@@ -175,7 +175,7 @@
         let from = self.placed.get(&ticket)?.endpoint.clone();
         self.relocate(ticket, to, now);
         if let Some(state) = self.endpoints.get_mut(to) {
-            state.on_sent(self.senders, now);
+            state.on_sent(self.sender_role, now);
         }
         self.throttle.sent(to, now);
         let deadline = now.after(MOVE_TIMEOUT);
@@ -188,7 +188,7 @@
     /// The generation at an endpoint whose move saves most for the time that it takes.
     fn most_valuable_at(&self, source: &Arc<str>, now: Instant) -> Option<Ticket> {
         let has_enough_left =
-            |placed: &Placed| placed.tokens + MIN_REMAINING_TOKENS < placed.req.max_tokens;
+            |placed: &PlacedRequest| placed.tokens + MIN_REMAINING_TOKENS < placed.req.max_tokens;
         self.placed
             .iter()
             .filter(|(ticket, placed)| {
@@ -204,7 +204,7 @@
 
     /// What moving a generation is expected to save, for each token copied: its worth when it
     /// ends, unless it ends by itself before its endpoint does.
-    fn move_gain(&self, placed: &Placed) -> f64 {
+    fn move_gain(&self, placed: &PlacedRequest) -> f64 {
         if !self.limits.disabled.allows(Mechanism::MoveOrder) {
             return 0.0;
         }
@@ -226,7 +226,7 @@
         now: Instant,
     ) -> Option<Arc<str>> {
         let placed = self.placed.get(&ticket)?;
-        let (req, demand) = (&placed.req, self.rest_of(placed));
+        let (req, demand) = (&placed.req, self.remaining_demand(placed));
         let hall = self.endpoints.get(source).map(|state| &state.spec.hall);
         let failures = self.moves.failures.get(&ticket);
         let disabled = self.limits.disabled;
--- a/crates/core/src/placement/giving_up.rs
+++ b/crates/core/src/placement/expiry.rs
@@ -26,7 +26,8 @@
                 target.map_or(Duration::ZERO, |target| target.expected_wait(q.rank))
             });
             self.cancel(expiry.ticket, now);
-            let error = overloaded("no endpoint became free in time", wait.unwrap_or_default());
+            let error =
+                overloaded_error("no endpoint became free in time", wait.unwrap_or_default());
             actions.push(Action::GiveUp { ticket: expiry.ticket, error });
         }
         actions
@@ -34,11 +35,11 @@
 
     /// Gives up what waits for a target all of whose data halls are out of service: operators give
     /// them back in minutes.
-    pub(super) fn give_up_where_all_are_out(&mut self, now: Instant) -> Vec<Action> {
+    pub(super) fn give_up_out_of_service(&mut self, now: Instant) -> Vec<Action> {
         let waited_for = self.targets.iter().filter(|(_, target)| 0 < target.queue.len());
         let out: Vec<EndpointTarget> = waited_for
             .map(|(name, _)| name.clone())
-            .filter(|target| self.is_out_of_service(target))
+            .filter(|target| self.is_target_out_of_service(target))
             .collect();
         if out.is_empty() {
             return Vec::new();
@@ -53,13 +54,13 @@
         let mut actions = Vec::new();
         for (ticket, target) in waiting {
             self.cancel(ticket, now);
-            actions.push(Action::GiveUp { ticket, error: self.no_endpoint(&target) });
+            actions.push(Action::GiveUp { ticket, error: self.no_endpoint_error(&target) });
         }
         actions
     }
 
     /// Whether all endpoints of a target that do not leave are in data halls that are out of service.
-    fn is_out_of_service(&self, target: &EndpointTarget) -> bool {
+    fn is_target_out_of_service(&self, target: &EndpointTarget) -> bool {
         let names = self.targets.get(target).map_or(&[][..], |target| &target.endpoints);
         let states = names.iter().filter_map(|name| self.endpoints.get(name));
         let mut staying = states.filter(|state| state.health != Health::Leaving).peekable();
@@ -67,9 +68,9 @@
     }
 
     /// The error for a request whose target no endpoint serves now.
-    pub(super) fn no_endpoint(&self, target: &EndpointTarget) -> RequestError {
+    pub(super) fn no_endpoint_error(&self, target: &EndpointTarget) -> RequestError {
         let name = target.name();
-        if self.is_out_of_service(target) {
+        if self.is_target_out_of_service(target) {
             let message = format!("every data hall that serves {name} is out of service");
             return RequestError::new(ErrorKind::OutOfService, message);
         }
@@ -78,9 +79,9 @@
 }
 
 /// The error for a request that had no turn, or would have none in time.
-pub(super) fn overloaded(message: &str, wait: Duration) -> RequestError {
-    const LEAST: Duration = Duration::from_secs(1);
+pub(super) fn overloaded_error(message: &str, wait: Duration) -> RequestError {
+    const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
     let mut error = RequestError::new(ErrorKind::Overloaded, message);
-    error.retry_after = Some(wait.max(LEAST));
+    error.retry_after = Some(wait.max(MIN_RETRY_AFTER));
     error
 }
--- a/crates/core/src/placement/handover.rs
+++ b/crates/core/src/placement/handover.rs
@@ -72,7 +72,7 @@
         if source.health == Health::Leaving || !source.spec.moves || placed.req.isolated {
             return Decision::Stay;
         }
-        let demand = self.rest_of(placed);
+        let demand = self.remaining_demand(placed);
         let Some(target) = self.targets.get(&placed.req.target) else { return Decision::Stay };
         let is_eligible = |state: &&EndpointState| {
             state.spec.hall == source.spec.hall
@@ -81,7 +81,7 @@
         };
         let all = target.endpoints.iter().filter_map(|name| self.endpoints.get(name));
         let near: Vec<&EndpointState> = all.filter(is_eligible).collect();
-        let near: Vec<&EndpointState> = even_sample(&near, self.samples).copied().collect();
+        let near: Vec<&EndpointState> = even_sample(&near, self.sample_offset).copied().collect();
         let baseline = SpeedBaseline::of(&near, now);
         let source_token_seconds = baseline.expected_token_seconds(source, now);
         let gain = |state: &EndpointState| {
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -3,9 +3,7 @@
 //! [`Scheduler`] keeps the queue, the endpoints and the running streams of its
 //! targets. It is soft state: it can be rebuilt from what daemons report.
 
-mod apart;
-#[cfg(test)]
-mod apart_tests;
+mod accounting;
 mod backoff;
 #[cfg(test)]
 mod backoff_tests;
@@ -13,30 +11,30 @@
 #[cfg(test)]
 mod cold_start_tests;
 mod endpoint;
-mod endpoint_news;
+mod endpoint_updates;
 mod engine_choice;
 #[cfg(test)]
 mod engine_choice_tests;
 mod evacuation;
 #[cfg(test)]
 mod evacuation_tests;
+mod expiry;
 #[cfg(test)]
 mod fixture;
 mod forecast;
-mod giving_up;
 #[cfg(test)]
 mod hall_tests;
 mod handover;
 #[cfg(test)]
 mod handover_tests;
+mod isolation;
 #[cfg(test)]
-mod in_time_tests;
+mod isolation_tests;
 mod policy;
 mod prefill;
 #[cfg(test)]
 mod prefill_tests;
 mod queue;
-mod running;
 mod scheduler;
 mod sender_role;
 mod speed_baseline;
@@ -46,6 +44,8 @@
 mod token_latency;
 #[cfg(test)]
 mod token_latency_tests;
+#[cfg(test)]
+mod ttft_tests;
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/core/src/placement/policy/baselines.rs
+++ b/crates/core/src/placement/policy/baselines.rs
@@ -1,6 +1,6 @@
 //! Policies to compare with.
 
-use super::{Demand, Policy, has_slot, least};
+use super::{Demand, Policy, argmin, has_slot};
 use crate::{placement::endpoint::EndpointState, units::Instant};
 
 /// The next endpoint in turn that has a free slot.
@@ -32,7 +32,7 @@
     }
 
     fn choose(&mut self, _: &Demand, endpoints: &[&EndpointState], _: Instant) -> Option<usize> {
-        least(endpoints, has_slot, |endpoint| endpoint.load() as f64)
+        argmin(endpoints, has_slot, |endpoint| endpoint.load() as f64)
     }
 }
 
--- a/crates/core/src/placement/policy/forecast.rs
+++ b/crates/core/src/placement/policy/forecast.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use super::{Demand, Policy, has_slot, least};
+use super::{Demand, Policy, argmin, has_slot};
 use crate::{
     mechanism::{Disabled, Mechanism},
     placement::{
@@ -75,21 +75,22 @@
     }
 
     /// The fullest that the endpoint is forecast to be, in parts of its memory.
-    fn fullness(&self, demand: &Demand, endpoint: &EndpointState) -> f64 {
+    fn memory_fraction(&self, demand: &Demand, endpoint: &EndpointState) -> f64 {
         let total = &endpoint.total;
         let margin = self.if_enabled(Mechanism::ForecastMargin, self.margin);
-        let mut most = total.used + demand.memory.used;
+        let mut max_used = total.used + demand.memory.used;
         for i in 0..HORIZONS.len() {
             let mean = total.mean[i] + demand.memory.mean[i];
             let variance = (total.variance[i] + demand.memory.variance[i]).max(0.0);
-            most = most.max(mean + margin * variance.sqrt());
+            max_used = max_used.max(mean + margin * variance.sqrt());
         }
-        most / endpoint.spec.kv_tokens as f64
+        max_used / endpoint.spec.kv_tokens as f64
     }
 
     /// Whether a request may be sent there: it has room, and the first token would come in time.
     pub(super) fn fits(&self, demand: &Demand, endpoint: &EndpointState, now: Instant) -> bool {
-        let memory_fits = endpoint.spec.kv_tokens == 0 || self.fullness(demand, endpoint) <= 1.0;
+        let memory_fits =
+            endpoint.spec.kv_tokens == 0 || self.memory_fraction(demand, endpoint) <= 1.0;
         // An empty endpoint takes even what the forecast finds too large.
         let has_room = has_slot(endpoint) && (memory_fits || endpoint.running == 0);
         has_room && meets_ttft_target(demand, endpoint, now)
@@ -110,7 +111,7 @@
         let kv = endpoint.spec.kv_tokens as f64;
         let cached = endpoint.has_prefix(demand.prefix, now);
         let saved = if cached { demand.prompt_tokens as f64 / kv } else { 0.0 };
-        let load_cost = self.fullness(demand, endpoint) + self.load_value * load
+        let load_cost = self.memory_fraction(demand, endpoint) + self.load_value * load
             - self.if_enabled(Mechanism::PrefixAffinity, self.prefix_value * saved);
         let own = MEMORY_COST_SECONDS * load_cost
             + self.ttft_cost(demand, endpoint, now)
@@ -181,7 +182,7 @@
         let min_token_seconds = token_seconds.min_by(f64::total_cmp).unwrap_or_default();
         let baseline = Baseline { speeds, min_token_seconds };
         let fits = |endpoint: &EndpointState| self.fits(demand, endpoint, now);
-        least(endpoints, fits, |endpoint| self.cost(demand, endpoint, &baseline, now))
+        argmin(endpoints, fits, |endpoint| self.cost(demand, endpoint, &baseline, now))
     }
 }
 
--- a/crates/core/src/placement/policy/mod.rs
+++ b/crates/core/src/placement/policy/mod.rs
@@ -68,7 +68,7 @@
 }
 
 /// Index of the least key among endpoints that pass the filter.
-fn least(
+fn argmin(
     endpoints: &[&EndpointState],
     fits: impl Fn(&EndpointState) -> bool,
     key: impl Fn(&EndpointState) -> f64,
--- a/crates/core/src/placement/policy/power_of_two.rs
+++ b/crates/core/src/placement/policy/power_of_two.rs
@@ -19,9 +19,9 @@
     /// The policy without these mechanisms; the seed must be another on each daemon.
     pub fn without(disabled: Disabled, seed: u64) -> PowerOfTwoChoices {
         // Slow endpoints are drawn less often; left to the choice, the others would get nearly all.
-        let by_room = disabled.with(Mechanism::ReadingAvoidance).with(Mechanism::Pace);
+        let by_capacity = disabled.with(Mechanism::ReadingAvoidance).with(Mechanism::Pace);
         PowerOfTwoChoices {
-            inner: ForecastPolicy::without(by_room),
+            inner: ForecastPolicy::without(by_capacity),
             rng: fastrand::Rng::with_seed(seed),
         }
     }
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -11,101 +11,101 @@
 
 /// A waiting request.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingRequest {
     pub(crate) req: Request,
     pub(crate) arrived: Instant,
 }
 
 /// Tokens served to a workspace, divided by its share.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-struct Service(f64);
+struct NormalizedService(f64);
 
-impl Eq for Service {}
+impl Eq for NormalizedService {}
 
-impl PartialOrd for Service {
-    fn partial_cmp(&self, other: &Service) -> Option<std::cmp::Ordering> {
+impl PartialOrd for NormalizedService {
+    fn partial_cmp(&self, other: &NormalizedService) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Service {
-    fn cmp(&self, other: &Service) -> std::cmp::Ordering {
+impl Ord for NormalizedService {
+    fn cmp(&self, other: &NormalizedService) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0)
     }
 }
 
 /// Place of a workspace in its tier: the least served comes first.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
-    service: Service,
+struct FairnessKey {
+    service: NormalizedService,
     workspace: Arc<str>,
 }
 
 #[derive(Debug, Default)]
 struct Tier {
     len: usize,
-    order: BTreeSet<Place>,
-    waiting: HashMap<Arc<str>, VecDeque<Waiting>>,
-    served: HashMap<Arc<str>, Service>,
+    by_service: BTreeSet<FairnessKey>,
+    waiting: HashMap<Arc<str>, VecDeque<WaitingRequest>>,
+    served: HashMap<Arc<str>, NormalizedService>,
     /// The most that a first-in-line workspace had been served when it was chosen.
-    floor: Service,
+    virtual_time: NormalizedService,
 }
 
 impl Tier {
-    fn place(&self, workspace: &Arc<str>) -> Place {
-        let service = self.served.get(workspace).copied().unwrap_or(self.floor);
-        Place { service, workspace: workspace.clone() }
+    fn key(&self, workspace: &Arc<str>) -> FairnessKey {
+        let service = self.served.get(workspace).copied().unwrap_or(self.virtual_time);
+        FairnessKey { service, workspace: workspace.clone() }
     }
 
-    fn push(&mut self, waiting: Waiting, held: bool) {
+    fn push(&mut self, waiting: WaitingRequest, at_limit: bool) {
         let workspace = waiting.req.workspace.clone();
         // A workspace that was idle does not save up service.
-        let service = self.served.entry(workspace.clone()).or_insert(self.floor);
-        let line = self.waiting.entry(workspace.clone()).or_default();
-        if line.is_empty() {
-            *service = (*service).max(self.floor);
-            if !held {
-                self.order.insert(Place { service: *service, workspace });
+        let service = self.served.entry(workspace.clone()).or_insert(self.virtual_time);
+        let queue = self.waiting.entry(workspace.clone()).or_default();
+        if queue.is_empty() {
+            *service = (*service).max(self.virtual_time);
+            if !at_limit {
+                self.by_service.insert(FairnessKey { service: *service, workspace });
             }
         }
-        line.push_back(waiting);
+        queue.push_back(waiting);
         self.len += 1;
     }
 
-    fn hold(&mut self, workspace: &Arc<str>, hold: bool) {
-        let place = self.place(workspace);
-        if hold {
-            self.order.remove(&place);
+    fn set_at_limit(&mut self, workspace: &Arc<str>, at_limit: bool) {
+        let key = self.key(workspace);
+        if at_limit {
+            self.by_service.remove(&key);
         } else if self.waiting.contains_key(workspace) {
-            self.order.insert(place);
+            self.by_service.insert(key);
         }
     }
 
-    fn head(&self) -> Option<&Waiting> {
-        let first = self.order.first()?;
+    fn head(&self) -> Option<&WaitingRequest> {
+        let first = self.by_service.first()?;
         self.waiting.get(&first.workspace)?.front()
     }
 
-    fn remove(&mut self, workspace: &Arc<str>, ticket: Ticket) -> Option<Waiting> {
-        let line = self.waiting.get_mut(workspace)?;
-        let at = line.iter().position(|w| w.req.ticket == ticket)?;
-        let waiting = line.remove(at);
+    fn remove(&mut self, workspace: &Arc<str>, ticket: Ticket) -> Option<WaitingRequest> {
+        let queue = self.waiting.get_mut(workspace)?;
+        let at = queue.iter().position(|w| w.req.ticket == ticket)?;
+        let waiting = queue.remove(at);
         self.len -= 1;
-        if line.is_empty() {
+        if queue.is_empty() {
             self.waiting.remove(workspace);
-            let place = self.place(workspace);
-            self.order.remove(&place);
+            let key = self.key(workspace);
+            self.by_service.remove(&key);
         }
         waiting
     }
 
     fn charge(&mut self, workspace: &Arc<str>, cost: f64) {
-        let place = self.place(workspace);
-        let queued = self.order.remove(&place);
-        let service = Service(place.service.0 + cost);
+        let key = self.key(workspace);
+        let queued = self.by_service.remove(&key);
+        let service = NormalizedService(key.service.0 + cost);
         self.served.insert(workspace.clone(), service);
         if queued {
-            self.order.insert(Place { service, workspace: workspace.clone() });
+            self.by_service.insert(FairnessKey { service, workspace: workspace.clone() });
         }
     }
 }
@@ -115,7 +115,7 @@
 pub(crate) struct Queue {
     tiers: BTreeMap<u64, Tier>,
     /// Workspaces that run as much as they may; their requests wait out of order.
-    held: HashSet<Arc<str>>,
+    at_limit: HashSet<Arc<str>>,
     len: usize,
 }
 
@@ -131,19 +131,19 @@
 
     pub(crate) fn push(&mut self, req: Request, arrived: Instant) {
         self.len += 1;
-        let held = self.held.contains(&req.workspace);
-        self.tiers.entry(req.rank).or_default().push(Waiting { req, arrived }, held);
+        let at_limit = self.at_limit.contains(&req.workspace);
+        self.tiers.entry(req.rank).or_default().push(WaitingRequest { req, arrived }, at_limit);
     }
 
     /// The first request of each rank, the next to serve first. A head gains a whole tier for
     /// each `ageing` that it has waited, so that no rank starves.
-    pub(crate) fn heads(&self, now: Instant, ageing: Duration) -> Vec<&Waiting> {
-        let aged = |w: &Waiting| {
+    pub(crate) fn heads(&self, now: Instant, ageing: Duration) -> Vec<&WaitingRequest> {
+        let aged_rank = |w: &WaitingRequest| {
             let tiers = now.since(w.arrived).as_secs_f64() / ageing.as_secs_f64();
             w.req.rank as f64 - tiers * RANKS_PER_TIER as f64
         };
-        let mut heads: Vec<&Waiting> = self.tiers.values().filter_map(Tier::head).collect();
-        heads.sort_by(|a, b| aged(a).total_cmp(&aged(b)));
+        let mut heads: Vec<&WaitingRequest> = self.tiers.values().filter_map(Tier::head).collect();
+        heads.sort_by(|a, b| aged_rank(a).total_cmp(&aged_rank(b)));
         heads
     }
 
@@ -152,29 +152,32 @@
         rank: u64,
         workspace: &Arc<str>,
         ticket: Ticket,
-    ) -> Option<Waiting> {
+    ) -> Option<WaitingRequest> {
         let waiting = self.tiers.get_mut(&rank)?.remove(workspace, ticket)?;
         self.len -= 1;
         Some(waiting)
     }
 
     /// Notes which workspace was chosen, so that newcomers start level with it.
-    pub(crate) fn chosen(&mut self, rank: u64, workspace: &Arc<str>) {
+    pub(crate) fn advance_virtual_time(&mut self, rank: u64, workspace: &Arc<str>) {
         if let Some(tier) = self.tiers.get_mut(&rank) {
-            let service = tier.place(workspace).service;
-            tier.floor = tier.floor.max(service);
+            let service = tier.key(workspace).service;
+            tier.virtual_time = tier.virtual_time.max(service);
         }
     }
 
     /// Holds a workspace's requests of all ranks back, or lets them take part again.
-    pub(crate) fn hold(&mut self, workspace: &Arc<str>, hold: bool) {
-        let changed =
-            if hold { self.held.insert(workspace.clone()) } else { self.held.remove(workspace) };
+    pub(crate) fn set_at_limit(&mut self, workspace: &Arc<str>, at_limit: bool) {
+        let changed = if at_limit {
+            self.at_limit.insert(workspace.clone())
+        } else {
+            self.at_limit.remove(workspace)
+        };
         if !changed {
             return;
         }
         for tier in self.tiers.values_mut() {
-            tier.hold(workspace, hold);
+            tier.set_at_limit(workspace, at_limit);
         }
     }
 
--- a/crates/core/src/placement/scheduler.rs
+++ b/crates/core/src/placement/scheduler.rs
@@ -8,15 +8,15 @@
 
 use super::{
     Action, Request, SampledEndpoint, SenderRole, Ticket,
-    apart::Apart,
-    backoff::{Candidates, Held},
+    backoff::{AdmissionGroups, HeldRequest},
     endpoint::{EndpointState, MemoryDemand},
     evacuation::MoveTracker,
+    expiry::overloaded_error,
     forecast::LengthForecast,
-    giving_up::overloaded,
     handover::HandoverQueue,
+    isolation::IsolatedRequests,
     policy::{Demand, ForecastPolicy, Policy, PowerOfTwoChoices},
-    target::Target,
+    target::TargetState,
     token_latency::TokenLatencyMeter,
 };
 use crate::{
@@ -30,7 +30,7 @@
 
 /// A request is turned away at once when its expected wait is this many times too long; the
 /// expectation is too rough to turn away on less.
-const HOPELESS: u32 = 2;
+const EXCESS_WAIT_FACTOR: u32 = 2;
 
 /// Bounds of a scheduler.
 #[derive(Debug, Clone, Copy)]
@@ -55,7 +55,7 @@
 
 /// A request that was granted an endpoint and has not finished.
 #[derive(Debug)]
-pub(super) struct Placed {
+pub(super) struct PlacedRequest {
     pub(super) req: Request,
     pub(super) endpoint: Arc<str>,
     pub(super) memory: MemoryDemand,
@@ -73,21 +73,21 @@
 
 /// Requests of one workspace.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Count {
+pub(super) struct WorkspaceCounts {
     pub(super) running: u64,
     pub(super) waiting: u64,
 }
 
 /// What becomes of a waiting request.
-enum Next {
+enum Step {
     /// It starts.
-    Start(Chosen),
+    Start(Selection),
     /// It waits until then: every endpoint has asked its daemon to back off.
     Hold(Ticket, Instant),
 }
 
 /// A request and the endpoint chosen for it.
-struct Chosen {
+struct Selection {
     rank: u64,
     workspace: Arc<str>,
     ticket: Ticket,
@@ -95,7 +95,7 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Queued {
+pub(super) struct QueuePosition {
     pub(super) target: EndpointTarget,
     pub(super) rank: u64,
     pub(super) workspace: Arc<str>,
@@ -107,32 +107,32 @@
     pub(super) limits: SchedulerLimits,
     pub(super) policy: Box<dyn Policy>,
     pub(super) forecast: LengthForecast,
-    pub(super) targets: HashMap<EndpointTarget, Target>,
+    pub(super) targets: HashMap<EndpointTarget, TargetState>,
     pub(super) endpoints: HashMap<Arc<str>, EndpointState>,
-    pub(super) queued: HashMap<Ticket, Queued>,
+    pub(super) queued: HashMap<Ticket, QueuePosition>,
     pub(super) expiries: BTreeSet<Expiry>,
-    pub(super) placed: HashMap<Ticket, Placed>,
+    pub(super) placed: HashMap<Ticket, PlacedRequest>,
     pub(super) moves: MoveTracker,
     pub(super) handover: HandoverQueue,
-    pub(super) apart: Apart,
-    pub(super) counts: HashMap<Arc<str>, Count>,
+    pub(super) isolated: IsolatedRequests,
+    pub(super) counts: HashMap<Arc<str>, WorkspaceCounts>,
     /// Endpoints that are cold, or were lately: few of many.
     pub(super) cold: BTreeSet<Arc<str>>,
     /// With whom it shares what they bear, and what limits allow.
-    pub(super) senders: SenderRole,
+    pub(super) sender_role: SenderRole,
     /// The limits that endpoints name, also those of endpoints that it does not place at itself.
     pub(crate) throttle: Throttle,
     /// The endpoints that have rejected requests lately, and the daemons that they have asked to back off.
     pub(crate) backoffs: BackoffTable,
     /// Requests that wait until an endpoint takes requests of their daemon again.
-    pub(super) held: Vec<Held>,
+    pub(super) held: Vec<HeldRequest>,
     pub(super) refusals: RetrySpreader,
     /// Random number of the daemon that places by itself; none for the scheduler of all daemons.
-    pub(super) alone: Option<u64>,
+    pub(super) local_seed: Option<u64>,
     /// When it last decided.
-    pub(super) decided: Instant,
+    pub(super) last_decision: Instant,
     /// Number of samples of endpoints taken.
-    pub(super) samples: usize,
+    pub(super) sample_offset: usize,
 }
 
 impl Scheduler {
@@ -149,17 +149,17 @@
             placed: HashMap::new(),
             moves: MoveTracker::default(),
             handover: HandoverQueue::default(),
-            apart: Apart::default(),
+            isolated: IsolatedRequests::default(),
             counts: HashMap::new(),
             cold: BTreeSet::new(),
-            senders: SenderRole::Scheduler,
+            sender_role: SenderRole::Scheduler,
             throttle: Throttle::new(SenderRole::Scheduler, 0),
             backoffs: BackoffTable::default(),
             held: Vec::new(),
             refusals: RetrySpreader::default(),
-            alone: None,
-            decided: Instant::default(),
-            samples: 0,
+            local_seed: None,
+            last_decision: Instant::default(),
+            sample_offset: 0,
         }
     }
 
@@ -175,16 +175,22 @@
         let disabled = disabled.with(Mechanism::Handover);
         let limits = SchedulerLimits { disabled, ..SchedulerLimits::default() };
         let policy = Box::new(PowerOfTwoChoices::without(disabled, seed));
-        let senders = SenderRole::one_of(0);
-        let (samples, alone) = (seed as usize, Some(seed));
-        let throttle = Throttle::new(senders, seed);
-        Scheduler { samples, alone, senders, throttle, ..Scheduler::new(limits, policy) }
+        let sender_role = SenderRole::one_of(0);
+        let (sample_offset, local_seed) = (seed as usize, Some(seed));
+        let throttle = Throttle::new(sender_role, seed);
+        Scheduler {
+            sample_offset,
+            local_seed,
+            sender_role,
+            throttle,
+            ..Scheduler::new(limits, policy)
+        }
     }
 
     /// The endpoint of a request that was placed, and another one with room if there is any.
     pub fn sampled_endpoints(&mut self, ticket: Ticket, now: Instant) -> Vec<SampledEndpoint> {
         let first = self.placed.get(&ticket).map(|placed| placed.endpoint.clone());
-        let other = self.another_for(ticket, now);
+        let other = self.alternative_for(ticket, now);
         let drawn = |endpoint: Arc<str>| {
             let slowness = self.endpoints.get(&endpoint).map_or(1.0, |e| e.reported_slowness(now));
             SampledEndpoint { endpoint, slowness }
@@ -192,16 +198,16 @@
         first.into_iter().chain(other).map(drawn).collect()
     }
 
-    fn another_for(&mut self, ticket: Ticket, now: Instant) -> Option<Arc<str>> {
+    fn alternative_for(&mut self, ticket: Ticket, now: Instant) -> Option<Arc<str>> {
         let placed = self.placed.get(&ticket)?;
         let target = self.targets.get(&placed.req.target)?;
-        self.samples = self.samples.wrapping_add(1);
+        self.sample_offset = self.sample_offset.wrapping_add(1);
         let req = &placed.req;
         let others = target
-            .sample(self.samples, req.prefix)
+            .sample(self.sample_offset, req.prefix)
             .filter(|name| **name != placed.endpoint)
             .filter_map(|name| self.endpoints.get(name));
-        let open = Candidates::new(others, req, |endpoint| {
+        let open = AdmissionGroups::new(others, req, |endpoint| {
             self.admission(endpoint, req.ticket.entry, now)
         });
         let demand = Demand::new(req, self.forecast.distribution(&req.workspace, &req.kind));
@@ -240,29 +246,29 @@
             return Err(RequestError::new(ErrorKind::WorkspaceLimit, message));
         }
         let Some(target) = self.targets.get(&req.target) else {
-            return Err(self.no_endpoint(&req.target));
+            return Err(self.no_endpoint_error(&req.target));
         };
         let live = target.endpoints.iter().any(|name| self.endpoints[name].is_usable(now));
         if !live {
-            return Err(self.no_endpoint(&req.target));
+            return Err(self.no_endpoint_error(&req.target));
         }
         if let Some(until) = self.backed_off_until(&req, now)
             && now.after(req.max_wait) < until
         {
-            return Err(self.all_back_off(&req.target, until, now));
+            return Err(self.backed_off_error(&req.target, until, now));
         }
         let Some(target) = self.targets.get(&req.target) else {
-            return Err(self.no_endpoint(&req.target));
+            return Err(self.no_endpoint_error(&req.target));
         };
         let wait = target.expected_wait(req.rank);
-        let hopeless =
-            self.limits.disabled.allows(Mechanism::EarlyRefusal) && req.max_wait * HOPELESS < wait;
-        if self.limits.max_waiting <= target.queue.len() || hopeless {
-            return Err(overloaded("the queue is too long for this kind of request", wait));
+        let wait_too_long = self.limits.disabled.allows(Mechanism::EarlyRefusal)
+            && req.max_wait * EXCESS_WAIT_FACTOR < wait;
+        if self.limits.max_waiting <= target.queue.len() || wait_too_long {
+            return Err(overloaded_error("the queue is too long for this kind of request", wait));
         }
         let expiry = Expiry { at: now.after(req.max_wait), ticket: req.ticket };
         self.expiries.insert(expiry);
-        let queued = Queued {
+        let queued = QueuePosition {
             target: req.target.clone(),
             rank: req.rank,
             workspace: req.workspace.clone(),
@@ -271,7 +277,7 @@
         self.counts.entry(req.workspace.clone()).or_default().waiting += 1;
         self.queued.insert(req.ticket, queued);
         if req.isolated {
-            self.apart.push(req, now);
+            self.isolated.push(req, now);
         } else if let Some(target) = self.targets.get_mut(&req.target) {
             target.queue.push(req, now);
         }
@@ -280,11 +286,11 @@
 
     /// Decides all that can be decided now.
     pub fn decide(&mut self, now: Instant) -> Vec<Action> {
-        self.decided = now;
+        self.last_decision = now;
         let mut actions = self.expire(now);
-        actions.extend(self.give_up_where_all_are_out(now));
-        actions.extend(self.start_apart(now));
-        self.let_held_go_on(now);
+        actions.extend(self.give_up_out_of_service(now));
+        actions.extend(self.start_isolated(now));
+        self.requeue_held(now);
         let targets: Vec<EndpointTarget> = self
             .targets
             .iter()
@@ -292,10 +298,10 @@
             .map(|(name, _)| name.clone())
             .collect();
         for target in targets {
-            while let Some(next) = self.choose_next(&target, now) {
+            while let Some(next) = self.next_step(&target, now) {
                 actions.extend(match next {
-                    Next::Start(chosen) => self.start(&target, chosen, now),
-                    Next::Hold(ticket, until) => self.hold(ticket, until, now),
+                    Step::Start(selection) => self.start(&target, selection, now),
+                    Step::Hold(ticket, until) => self.hold_until(ticket, until, now),
                 });
             }
         }
@@ -311,7 +317,10 @@
     /// other input.
     pub fn next_decision(&self) -> Option<Instant> {
         let next = self.next_expiry().into_iter().chain(self.next_plan_at());
-        next.chain(self.next_cold_send()).chain(self.next_turn()).chain(self.next_more_open()).min()
+        next.chain(self.next_cold_send())
+            .chain(self.next_rate_limit_slot())
+            .chain(self.next_backoff_change())
+            .min()
     }
 
     /// Whether an endpoint may be sent new work now, as far as it has rejected none.
@@ -320,14 +329,14 @@
     }
 
     /// When an endpoint that names a limit next takes a request, while any waits.
-    fn next_turn(&self) -> Option<Instant> {
+    fn next_rate_limit_slot(&self) -> Option<Instant> {
         if self.queued.is_empty() || self.throttle.is_empty() {
             return None;
         }
         let limited = self.throttle.words().map(|word| &word.endpoint);
         let limited = limited.filter(|name| self.endpoints.contains_key(*name));
-        let turns = limited.map(|name| self.throttle.next(name, self.decided));
-        turns.filter(|at| self.decided < *at).min()
+        let slots = limited.map(|name| self.throttle.next(name, self.last_decision));
+        slots.filter(|at| self.last_decision < *at).min()
     }
 
     /// When a cold endpoint next takes a request, while any waits.
@@ -336,17 +345,22 @@
             return None;
         }
         let cold = self.cold.iter().filter_map(|name| self.endpoints.get(name));
-        cold.filter_map(EndpointState::next_cold_send).filter(|at| self.decided < *at).min()
+        cold.filter_map(EndpointState::next_cold_send).filter(|at| self.last_decision < *at).min()
     }
 
-    fn start(&mut self, target: &EndpointTarget, chosen: Chosen, now: Instant) -> Option<Action> {
-        let Chosen { rank, workspace, ticket, endpoint } = chosen;
+    fn start(
+        &mut self,
+        target: &EndpointTarget,
+        selection: Selection,
+        now: Instant,
+    ) -> Option<Action> {
+        let Selection { rank, workspace, ticket, endpoint } = selection;
         let state = self.targets.get_mut(target)?;
-        state.queue.chosen(rank, &workspace);
+        state.queue.advance_virtual_time(rank, &workspace);
         let waiting = state.queue.remove(rank, &workspace, ticket)?;
-        state.note_start(now);
+        state.record_start(now);
         if let Some(queued) = self.queued.remove(&ticket) {
-            self.no_longer_waits(&queued);
+            self.on_dequeued(&queued);
         }
         self.place(waiting.req, &endpoint, now);
         Some(Action::Start { ticket, endpoint, priority: rank })
@@ -354,7 +368,7 @@
 
     /// What becomes of the next request. While the head of a rank waits for room, only better ones may go
     /// before it.
-    fn choose_next(&mut self, target: &EndpointTarget, now: Instant) -> Option<Next> {
+    fn next_step(&mut self, target: &EndpointTarget, now: Instant) -> Option<Step> {
         let state = self.targets.get(target)?;
         let mut blocked = u64::MAX;
         let ages = self.limits.disabled.allows(Mechanism::Ageing);
@@ -367,14 +381,14 @@
             let mut demand =
                 Demand::new(req, self.forecast.distribution(&req.workspace, &req.kind));
             demand.ttft_target = req.ttft_target.saturating_sub(now.since(waiting.arrived));
-            self.samples = self.samples.wrapping_add(1);
-            let sample = state.sample(self.samples, req.prefix);
+            self.sample_offset = self.sample_offset.wrapping_add(1);
+            let sample = state.sample(self.sample_offset, req.prefix);
             let open = sample.filter_map(|name| self.endpoints.get(name));
-            let open = Candidates::new(open, req, |endpoint| {
+            let open = AdmissionGroups::new(open, req, |endpoint| {
                 self.admission(endpoint, req.ticket.entry, now)
             });
             if let Some(endpoint) = open.choose(&demand, &mut *self.policy, now) {
-                return Some(Next::Start(Chosen {
+                return Some(Step::Start(Selection {
                     rank: req.rank,
                     workspace: req.workspace.clone(),
                     ticket: req.ticket,
@@ -382,7 +396,7 @@
                 }));
             }
             if let Some(until) = self.backed_off_until(req, now) {
-                return Some(Next::Hold(req.ticket, until));
+                return Some(Step::Hold(req.ticket, until));
             }
             blocked = req.rank;
         }
--- a/crates/core/src/placement/sender_role.rs
+++ b/crates/core/src/placement/sender_role.rs
@@ -4,7 +4,7 @@
 
 /// Daemons that do not know how many they are send nothing to such endpoints: their share of as many
 /// as there may be at all.
-const UNKNOWN: u64 = 1_000_000;
+const UNKNOWN_DAEMON_COUNT: u64 = 1_000_000;
 
 /// One scheduler for all daemons, or one of many daemons that choose by themselves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,14 +27,14 @@
 impl SenderRole {
     /// One of so many daemons; zero while their number is not known.
     pub fn one_of(count: u64) -> SenderRole {
-        SenderRole::Daemons(if count == 0 { UNKNOWN } else { count })
+        SenderRole::Daemons(if count == 0 { UNKNOWN_DAEMON_COUNT } else { count })
     }
 
     /// Time between two requests of one of them to an endpoint that takes one in each `interval`.
-    pub(crate) fn interval(self, interval: Duration, parts: RateSplit) -> Duration {
+    pub(crate) fn interval(self, interval: Duration, split: RateSplit) -> Duration {
         match self {
-            SenderRole::Scheduler => interval.mul_f64(1.0 / parts.scheduler),
-            SenderRole::Daemons(count) => interval.mul_f64(count as f64 / parts.daemons),
+            SenderRole::Scheduler => interval.mul_f64(1.0 / split.scheduler),
+            SenderRole::Daemons(count) => interval.mul_f64(count as f64 / split.daemons),
         }
     }
 
