--- a/crates/core/src/node/admit.rs
+++ b/crates/core/src/node/admit.rs
@@ -1,4 +1,4 @@
-//! Requests as daemons tell the scheduler of them.
+//! Conversion between [`Request`] and the [`Admit`] message of the wire protocol.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     wire::Admit,
 };
 
-/// The message by which a daemon asks for a place for a request that may wait this long.
+/// Encodes a request that may wait `max_wait` in the scheduler's queue.
 pub(super) fn encode(call: CallId, req: &Request, max_wait: Duration) -> Admit {
     Admit {
         number: call.0,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The request that a daemon asks a place for.
+/// Decodes a request; `ticket` identifies it at the scheduler.
 pub(super) fn decode(ticket: Ticket, admit: Admit) -> Request {
     let target = if admit.is_service {
         EndpointTarget::Service(admit.target)
--- a/crates/core/src/node/directory.rs
+++ b/crates/core/src/node/directory.rs
@@ -1,7 +1,7 @@
-//! Which control VMs there are, learned from the VMs that the settings name and from each other.
+//! Discovery of control VMs, starting from the seeds in the settings.
 //!
-//! A control VM tells all daemons that it is linked to which control VMs it is linked to. So a
-//! daemon that knows one control VM soon knows all, and follows when they are replaced.
+//! Each control VM announces to all linked daemons which control VMs it has links to. A daemon that
+//! reaches one control VM thus discovers all of them and follows replacements.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,18 +14,19 @@
     wire::{Body, Directory as DirectoryMessage},
 };
 
-/// How often a control VM tells what it knows: a new control VM is found this fast.
+/// Interval between announcements of a control VM.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// A control VM that nobody has named for this long is forgotten. Longer than a VM takes to
-/// come back, so that a restarted one is dialed at once.
+/// Time after which a control VM that no announcement names is removed. Longer than a VM takes to
+/// restart, so that a restarted one is dialed at once.
 const EXPIRE_AFTER: Duration = Duration::from_secs(30);
 
-/// The control VMs that this daemon knows.
+/// Control VMs known to this daemon.
 pub(crate) struct Directory {
     vm: VmName,
     is_control: bool,
-    /// VMs that the settings name; they are always dialed.
+    /// Control VMs in the settings, which are always dialed.
     seeds: Vec<VmName>,
+    /// When each control VM was last named in an announcement.
     last_named: BTreeMap<VmName, Instant>,
     links: BTreeSet<VmName>,
     known: Vec<VmName>,
@@ -47,7 +48,7 @@
         directory
     }
 
-    /// All control VMs, this one included where it is one.
+    /// All control VMs, including this one if it is a control VM.
     pub(crate) fn known(&self) -> &[VmName] {
         &self.known
     }
@@ -59,7 +60,7 @@
     pub(crate) fn link_up(&mut self, vm: &VmName, out: &mut Outbox) {
         self.links.insert(vm.clone());
         if self.is_control {
-            out.send(vm, Body::Directory(self.message()));
+            out.send(vm, Body::Directory(self.announcement()));
         }
     }
 
@@ -67,13 +68,13 @@
         self.links.remove(vm);
     }
 
-    /// Takes the seeds of changed settings.
+    /// Replaces the seeds after a change of the settings.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<VmName>, now: Instant, out: &mut Outbox) {
         self.seeds = seeds;
         self.refresh(now, out);
     }
 
-    /// Takes what a control VM tells.
+    /// Applies an announcement of a control VM.
     pub(crate) fn on_directory(
         &mut self,
         from: &VmName,
@@ -97,13 +98,13 @@
         self.refresh(now, out);
         if self.is_control {
             for vm in &self.links {
-                out.send(vm, Body::Directory(self.message()));
+                out.send(vm, Body::Directory(self.announcement()));
             }
         }
     }
 
-    /// This VM and the control VMs that it is linked to.
-    fn message(&self) -> DirectoryMessage {
+    /// Announces this VM and the control VMs that it has links to.
+    fn announcement(&self) -> DirectoryMessage {
         let linked = self.known.iter().filter(|vm| self.links.contains(*vm) || **vm == self.vm);
         DirectoryMessage { vms: linked.map(|vm| vm.to_string()).collect() }
     }
--- a/crates/core/src/node/dispatcher.rs
+++ b/crates/core/src/node/dispatcher.rs
@@ -92,7 +92,7 @@
         self.endpoints = endpoints.keys().cloned().collect();
         self.must_assign = true;
         for endpoint in endpoints.keys() {
-            self.scheduler.endpoint_leaving(endpoint, engines.closed.contains(endpoint.as_str()));
+            self.scheduler.endpoint_leaving(endpoint, engines.draining.contains(endpoint.as_str()));
         }
         for endpoint in self.leaving.keys() {
             self.scheduler.endpoint_leaving(endpoint, true);
--- a/crates/core/src/node/endpoints.rs
+++ b/crates/core/src/node/endpoints.rs
@@ -1,5 +1,5 @@
-//! Endpoints at a node: passes on what they say of themselves, hands them to the schedulers
-//! and shows their state.
+//! Endpoints that register themselves: spreads their records between daemons, configures the
+//! schedulers with them and reports their state.
 
 use super::{
     Engines, Node, Output, VmName,
@@ -25,24 +25,24 @@
     pub hall: String,
     /// Model or service.
     pub target: String,
-    /// `live`, `leaving`, `down`, `retrying`, or `out` where its data hall is out of service.
+    /// `live`, `leaving`, `down`, `retrying`, or `out` if its data hall is out of service.
     pub health: &'static str,
-    /// Requests granted.
+    /// Requests placed on it.
     pub running: u64,
-    /// Most requests at once.
+    /// Maximum number of concurrent requests.
     pub slots: u64,
-    /// Memory granted, in tokens.
+    /// KV cache reserved, in tokens.
     pub kv_used: u64,
-    /// Memory, in tokens.
+    /// KV cache capacity, in tokens.
     pub kv_tokens: u64,
-    /// Requests a second that it takes from all daemons, by its own word; nothing where it names no limit.
+    /// Rate limit that the endpoint reports, in requests per second from all daemons together.
     pub limit: Option<f64>,
-    /// For how much longer it is the last resort, since it has rejected requests, in milliseconds.
+    /// Remaining time in milliseconds for which it is a last resort after rejecting requests.
     pub backoff_ms: Option<u64>,
 }
 
 impl Node {
-    /// A heartbeat goes to the other control VMs, and what is new in it to every daemon.
+    /// Forwards a heartbeat: changes to all daemons, others to the control VMs only.
     pub(super) fn on_heartbeat(&mut self, record: EndpointRecord, now: Instant) {
         if self.conflicts_with_known(&record) {
             return;
@@ -53,9 +53,9 @@
         }
     }
 
-    /// Whether a record belongs to a service that the configuration does not name and would take the
-    /// name or the address of an endpoint that is known. Others of such services do no harm, and
-    /// their services may be named by the next configuration.
+    /// Whether a record of an unconfigured service has the name or address of a known endpoint and
+    /// would replace it. Other records of unconfigured services are accepted: the next configuration
+    /// may add the service.
     fn conflicts_with_known(&self, record: &EndpointRecord) -> bool {
         let active_config = self.client.active_config();
         let is_unknown =
@@ -63,15 +63,15 @@
         is_unknown && self.registry.is_known_by_name_or_address(record)
     }
 
-    /// An endpoint said that it will end.
+    /// Handles an endpoint's announcement that it will exit.
     pub(super) fn on_deregistration(&mut self, id: &str, now: Instant) {
         if let Some(record) = self.registry.leave(id, 0, now) {
             self.broadcast_record(record, now);
         }
     }
 
-    /// An endpoint has said in an answer that it will end. That is first-hand, so it holds whatever control VMs say
-    /// of this run, and is told to them at once.
+    /// Handles a response in which an endpoint announces that it will exit. It comes from the endpoint
+    /// itself, so it overrides what control VMs report of this run.
     pub(super) fn on_endpoint_leaving(&mut self, endpoint: &str, started_at: u64, now: Instant) {
         if !self.registry.knows_run(endpoint, started_at) {
             return;
@@ -82,16 +82,16 @@
         }
     }
 
-    /// Tells which endpoints' heartbeats have stopped.
+    /// Broadcasts the endpoints whose heartbeats have stopped.
     pub(super) fn broadcast_silent_endpoints(&mut self, now: Instant) {
         for record in self.registry.find_silent(now) {
             self.broadcast_record(record, now);
         }
     }
 
-    /// What is new here goes on, so that it also reaches daemons which the sender does not: a
-    /// control VM tells all, and an entry, which may be linked to control VMs that are parted
-    /// from each other, tells the leader what the leader does not tell it.
+    /// Stores records from another daemon and relays changes to daemons that the sender may not
+    /// reach: a control VM to all daemons, an entry to the leader if the leader has not sent them,
+    /// since control VMs may be partitioned from each other.
     pub(super) fn on_endpoint_news(&mut self, from: &VmName, news: EndpointNews, now: Instant) {
         let from_leader = self.client.leader() == Some(from);
         let EndpointNews { records, ages_ms, part } = news;
@@ -100,8 +100,8 @@
             if from_leader {
                 self.leader_updates.remove_known(&record);
             }
-            let heard = Instant(now.0.saturating_sub(age_ms.saturating_mul(1_000)));
-            let Some(new) = self.registry.take_heard(record, heard, now) else { continue };
+            let received = Instant(now.0.saturating_sub(age_ms.saturating_mul(1_000)));
+            let Some(new) = self.registry.take_heard(record, received, now) else { continue };
             if self.control.is_some() {
                 let pause = RELAY_DELAY + scaled(RELAY_DELAY_PER_DAEMON, self.links.len());
                 self.relayed_updates.add(new, now.after(pause));
@@ -116,23 +116,23 @@
         }
     }
 
-    /// Sends a daemon the part of the endpoints that it asks for.
+    /// Sends a daemon one part of the registry.
     pub(super) fn send_endpoint_part(
         &mut self,
         to: &VmName,
-        wanted: EndpointsWanted,
+        request: EndpointsWanted,
         now: Instant,
     ) {
         let age_ms = |heard: Instant| now.since(heard).as_millis() as u64;
-        let records = self.registry.part(wanted.part as usize).iter();
+        let records = self.registry.part(request.part as usize).iter();
         let (records, ages_ms) =
             records.map(|(record, heard)| (record.clone(), age_ms(*heard))).unzip();
-        let news = EndpointNews { records, ages_ms, part: Some(wanted.part) };
+        let news = EndpointNews { records, ages_ms, part: Some(request.part) };
         self.outputs.send(to, Body::EndpointNews(news));
     }
 
-    /// Tells the leader what this entry has from control VMs that it is linked to anew, where the
-    /// leader knew something else.
+    /// Queues for the leader the records that an entry received from other control VMs during
+    /// synchronization, in parts where the leader's digest differs.
     pub(super) fn queue_updates_for_leader(&mut self, now: Instant) {
         let Some(leader) = self.client.leader().filter(|_| self.control.is_none()) else { return };
         let unknown = self.endpoint_sync.take_parts_unknown_to(leader, || self.registry.digest());
@@ -148,7 +148,7 @@
         self.local_updates.add_rate_limited(record, pause, now);
     }
 
-    /// Sends what was gathered and is due.
+    /// Sends the batches that are due.
     pub(super) fn flush_endpoint_news(&mut self, now: Instant) {
         for news in [self.local_updates.take_due(now), self.relayed_updates.take_due(now)]
             .into_iter()
@@ -172,22 +172,22 @@
         }
     }
 
-    /// When news is next due.
+    /// Time at which a batch, a publication or a save is next due.
     pub(super) fn next_endpoint_tick(&self) -> Option<Instant> {
-        let gathered =
+        let batches =
             [&self.local_updates, &self.relayed_updates, &self.heartbeats, &self.leader_updates];
-        let hand_out = self.has_unpublished_endpoints().then_some(self.next_publish);
-        let due = gathered.into_iter().filter_map(NewsBatch::due);
-        due.chain(hand_out).chain(self.next_save_due()).min()
+        let publish = self.has_unpublished_endpoints().then_some(self.next_publish);
+        let due = batches.into_iter().filter_map(NewsBatch::due);
+        due.chain(publish).chain(self.next_save_due()).min()
     }
 
-    /// Whether the endpoints have changed since they were handed out.
+    /// Whether the registry has changed since it was last published.
     fn has_unpublished_endpoints(&self) -> bool {
         self.published_revision != self.registry.revision()
     }
 
-    /// Hands the endpoints out if they have changed; not more often than this daemon can, unless
-    /// other data halls are out of service. Returns whether it did.
+    /// Publishes the endpoints if they have changed and the minimum interval has passed, or at once if
+    /// the set of data halls out of service has changed. Returns whether it did.
     pub(super) fn publish_endpoints_if_due(&mut self, halls_changed: bool, now: Instant) -> bool {
         let due = self.has_unpublished_endpoints() && self.next_publish <= now;
         if !due && !halls_changed {
@@ -200,7 +200,7 @@
         true
     }
 
-    /// Notes that data halls were given back to service.
+    /// Marks the endpoints of data halls that are back in service.
     pub(super) fn on_halls_restored(&mut self, halls: &[String], now: Instant) {
         let Some(active_config) = self.client.active_config() else { return };
         for hall in halls {
@@ -208,8 +208,7 @@
         }
     }
 
-    /// Lets the endpoints be kept on disk, so that they are known at once after a failure of all
-    /// control VMs.
+    /// Saves the endpoints to disk, so that they are known right after a restart of all control VMs.
     pub(super) fn save_endpoints_if_due(&mut self, now: Instant) {
         if !self.has_unsaved_endpoints() || now < self.next_save {
             return;
@@ -221,17 +220,16 @@
         self.outputs.push(Output::SaveEndpoints(records));
     }
 
-    /// Whether the endpoints have changed since they were kept; entries have no disk.
+    /// Whether the registry has changed since it was last saved; entries have no disk.
     fn has_unsaved_endpoints(&self) -> bool {
         self.control.is_some() && self.saved_revision != self.registry.revision()
     }
 
-    /// When the endpoints must be kept on disk again.
     fn next_save_due(&self) -> Option<Instant> {
         self.has_unsaved_endpoints().then_some(self.next_save)
     }
 
-    /// Brings the endpoints that registered themselves to the schedulers.
+    /// Updates the schedulers with the registered and configured endpoints.
     pub(super) fn configure_schedulers(&mut self, now: Instant) {
         let Some(active_config) = self.client.active_config() else { return };
         let halls_out = self.client.halls_out();
@@ -241,18 +239,18 @@
             control.set_engines(engines, now, &mut self.outputs);
         }
         let registry = &self.registry;
-        let is_there = |endpoint: &str, started_at| {
+        let is_known = |endpoint: &str, started_at| {
             registry.knows_run(endpoint, started_at)
                 || active_config.config.endpoints.contains_key(endpoint)
         };
-        self.placement.retain_runs(is_there, now);
+        self.placement.retain_runs(is_known, now);
         if let Some(control) = &mut self.control {
-            control.retain_runs(is_there, now);
+            control.retain_runs(is_known, now);
         }
     }
 }
 
-/// The state of every endpoint that a scheduler knows.
+/// State of every endpoint that a scheduler knows.
 pub(super) fn endpoint_statuses(scheduler: &Scheduler, now: Instant) -> Vec<EndpointStatus> {
     let status = |(name, state): (&str, &EndpointState)| EndpointStatus {
         name: name.to_owned(),
--- a/crates/core/src/node/engines.rs
+++ b/crates/core/src/node/engines.rs
@@ -1,4 +1,4 @@
-//! The engines that schedulers may use.
+//! The endpoints that run models, as input of the schedulers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,41 +12,43 @@
     units::Instant,
 };
 
-/// The engines that schedulers may use.
+/// Engines that schedulers may place requests on.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Engines {
-    /// Those that registered themselves, by name.
-    pub(crate) known: Endpoints,
-    /// Those of them that must get no new work.
-    pub(crate) closed: BTreeSet<Arc<str>>,
-    /// Until when some of them are cold.
+    /// Engines that registered themselves, by name.
+    pub(crate) registered: Endpoints,
+    /// Registered engines that must get no new requests.
+    pub(crate) draining: BTreeSet<Arc<str>>,
+    /// Registered engines that are cold, and until when.
     pub(crate) cold: BTreeMap<Arc<str>, Instant>,
-    /// The data halls that are out of service.
+    /// Data halls that are out of service.
     pub(crate) halls_out: HallsOut,
-    /// Those that the configuration lists.
-    listed: Endpoints,
+    /// Engines that the configuration lists.
+    configured: Endpoints,
 }
 
 impl Engines {
-    /// The engines of a registry on the terms of a configuration, and those that it lists.
+    /// Combines the registered engines of configured services with the engines that the
+    /// configuration lists.
     pub(crate) fn new(registry: &Registry, config: &Config, halls_out: &HallsOut) -> Engines {
-        let known = registry.engines(config);
-        let closed = registry.closed().filter(|id| known.contains_key(&***id)).cloned().collect();
-        let cold = registry.cold().filter(|(id, _)| known.contains_key(&***id));
+        let registered = registry.engines(config);
+        let draining =
+            registry.closed().filter(|id| registered.contains_key(&***id)).cloned().collect();
+        let cold = registry.cold().filter(|(id, _)| registered.contains_key(&***id));
         let cold = cold.map(|(id, until)| (id.clone(), until)).collect();
         Engines {
             cold,
-            known,
-            closed,
+            registered,
+            draining,
             halls_out: halls_out.clone(),
-            listed: config.endpoints.clone(),
+            configured: config.endpoints.clone(),
         }
     }
 
-    /// All of them.
+    /// All engines, by name.
     pub(crate) fn all(&self) -> Endpoints {
-        let mut all = self.known.clone();
-        all.extend(self.listed.iter().map(|(name, spec)| (name.clone(), spec.clone())));
+        let mut all = self.registered.clone();
+        all.extend(self.configured.iter().map(|(name, spec)| (name.clone(), spec.clone())));
         all
     }
 }
--- a/crates/core/src/node/inputs.rs
+++ b/crates/core/src/node/inputs.rs
@@ -1,4 +1,4 @@
-//! Hands each input to the part of the node that it is for.
+//! Dispatches inputs, calls and messages to the components of the node.
 
 use bytes::Bytes;
 
@@ -29,7 +29,7 @@
                     control.persisted(number, clocks, out);
                 }
             }
-            Input::Call(call, question) => self.ask(call, question, clocks),
+            Input::Call(call, request) => self.on_call(call, request, clocks),
             Input::Progress(call, tokens) => {
                 self.placement.on_progress(call, tokens, clocks.now, out)
             }
@@ -40,9 +40,9 @@
             Input::Health(endpoint, news) => {
                 self.placement.on_health(&endpoint, news, clocks.now, true, out);
             }
-            Input::FailedAttempt(broke_off) => {
+            Input::FailedAttempt(attempt) => {
                 let (suspects, mut cx, out) = self.suspects_context(clocks);
-                suspects.on_failed_attempt(broke_off, &mut cx, out);
+                suspects.on_failed_attempt(attempt, &mut cx, out);
             }
             Input::AnswerCompleted(request) => {
                 let (suspects, mut cx, out) = self.suspects_context(clocks);
@@ -56,9 +56,9 @@
                 let (suspects, mut cx, out) = self.suspects_context(clocks);
                 suspects.on_trial_over(call, complete, &mut cx, out);
             }
-            Input::RateLimitReported(word) => {
+            Input::RateLimitReported(report) => {
                 let (permits, mut cx, out) = self.permits_context(clocks.now);
-                permits.on_report(word, &mut cx, out);
+                permits.on_report(report, &mut cx, out);
             }
             Input::Rejected(rejection) => {
                 let scheduler = self.client.scheduler(clocks.now);
@@ -91,10 +91,10 @@
         }
     }
 
-    fn ask(&mut self, call: CallId, question: NodeCall, clocks: Clocks) {
+    fn on_call(&mut self, call: CallId, request: NodeCall, clocks: Clocks) {
         let out = &mut self.outputs;
         let leader = self.client.leader();
-        match question {
+        match request {
             NodeCall::Place(req) => {
                 let scheduler = self.client.scheduler(clocks.now);
                 self.placement.place(call, req, scheduler, clocks.now, out);
@@ -127,9 +127,9 @@
                 let (suspects, cx, out) = self.suspects_context(clocks);
                 suspects.request_trial(call, request, limit, &cx, out);
             }
-            NodeCall::Permit(ask) => {
+            NodeCall::Permit(req) => {
                 let (permits, mut cx, out) = self.permits_context(clocks.now);
-                permits.request(PermitRequest { asker: call, ..ask }, &mut cx, out);
+                permits.request(PermitRequest { asker: call, ..req }, &mut cx, out);
             }
             NodeCall::ClearSuspect { request, limit } => {
                 let request = Bytes::copy_from_slice(request.as_bytes());
@@ -137,12 +137,13 @@
                 self.operations.start(call, kind, limit, leader, clocks.now, out);
             }
             NodeCall::Suspects => {
-                let all = self.control.as_ref().map(|control| control.state().suspects().all());
-                out.reply(call, NodeReply::Suspects(all));
+                let suspects =
+                    self.control.as_ref().map(|control| control.state().suspects().all());
+                out.reply(call, NodeReply::Suspects(suspects));
             }
             NodeCall::Endpoints => {
-                let dispatcher = self.control.as_ref().and_then(ControlReplica::scheduler);
-                let scheduler = dispatcher.unwrap_or(self.placement.local());
+                let leader_scheduler = self.control.as_ref().and_then(ControlReplica::scheduler);
+                let scheduler = leader_scheduler.unwrap_or(self.placement.local());
                 out.reply(call, NodeReply::Endpoints(endpoint_statuses(scheduler, clocks.now)));
             }
             NodeCall::ControlStatus => {
@@ -203,7 +204,8 @@
             Body::Directory(message) => self.directory.on_directory(from, message, clocks.now, out),
             Body::EndpointNews(news) => self.on_endpoint_news(from, news, clocks.now),
             Body::EndpointDigest(EndpointDigest { sums }) => {
-                // Another release may divide them otherwise; what is new it tells all the same.
+                // A release with other parts sends a digest that cannot be compared; changes still
+                // arrive as news.
                 if let Some(digest) = Digest::read(sums) {
                     self.endpoint_sync.on_digest(from, digest, clocks.now);
                 }
@@ -226,9 +228,9 @@
         }
     }
 
-    /// Takes the leader's word of the limits that endpoints name.
-    fn on_rate_limits(&mut self, words: Vec<LimitWord>, clocks: Clocks) {
+    /// Applies rate limits that the leader has sent.
+    fn on_rate_limits(&mut self, reports: Vec<LimitWord>, clocks: Clocks) {
         let (permits, mut cx, out) = self.permits_context(clocks.now);
-        permits.on_rate_limits(words, &mut cx, out);
+        permits.on_rate_limits(reports, &mut cx, out);
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,17 +1,24 @@
-//! One daemon's decisions as a pure state machine.
+//! The state machine of one daemon.
 //!
-//! [`Node`] takes the time and an [`Input`] and leaves [`Output`]s. The same core
+//! [`Node`] is pure: it takes the time and an [`Input`] and returns [`Output`]s, so the same code
 //! runs in the daemon, in tests and in experiments.
 //!
-//! - [`control_client`] knows whether the configuration in force is current; [`config_store`] holds it,
-//!   [`fetching`] brings a newer one from a control VM, which has it in [`changes`];
-//! - [`operations`] carries changes of the replicated state to the leader;
-//! - [`placement_client`] finds places for this daemon's requests;
-//! - [`control`] runs a control replica and, on the leader, answers the daemons;
-//! - [`dispatcher`] is the scheduler that the leader runs for all daemons;
-//! - [`permit_client`] asks for permits at endpoints that name limits, [`permit_allocator`] gives them on the leader;
-//! - [`suspect_tracker`] knows under which requests endpoints have ended;
-//! - [`directory`] knows the control VMs and [`endpoints`] the endpoints that register.
+//! On every daemon:
+//!
+//! - [`control_client`] polls the leader and tracks whether the active configuration is current;
+//!   [`config_store`] holds that configuration and [`fetching`] downloads newer ones;
+//! - [`operations`] sends changes of the replicated state to the leader;
+//! - [`placement_client`] places this daemon's requests;
+//! - [`permit_client`] requests permits for endpoints with rate limits;
+//! - [`suspect_tracker`] tracks requests that may crash endpoints;
+//! - [`directory`] lists the control VMs and [`endpoints`] the endpoints that register.
+//!
+//! On control VMs:
+//!
+//! - [`control`] runs a control replica and, on the leader, serves the daemons;
+//! - [`changes`] stores configuration changes for daemons that fetch them;
+//! - [`dispatcher`] schedules the requests of all daemons on the leader;
+//! - [`permit_allocator`] grants permits on the leader.
 
 mod admit;
 mod broadcast;
@@ -100,11 +107,11 @@
 /// Name of a VM.
 pub type VmName = Arc<str>;
 
-/// Interval at which the registry is searched for endpoints that are silent or long gone; both
-/// are matters of seconds.
+/// Interval between scans of the registry for endpoints whose heartbeats have stopped and for
+/// expired records; both take seconds to occur.
 const EXPIRY_SCAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One daemon.
+/// State machine of one daemon.
 pub struct Node {
     vm: VmName,
     outputs: Outbox,
@@ -117,31 +124,30 @@
     directory: Directory,
     registry: Registry,
     endpoint_sync: EndpointSync,
-    /// Daemons that are linked.
+    /// VMs of the daemons with a link to this one.
     links: BTreeSet<VmName>,
-    /// Revision of the registry that was last handed out.
+    /// Revision of the registry that was last published with [`Output::Registered`].
     published_revision: u64,
-    /// The registry is not handed out again before this.
+    /// Earliest time of the next publication.
     next_publish: Instant,
-    /// Revision of the registry that was last saved on disk.
+    /// Revision of the registry that was last saved to disk.
     saved_revision: u64,
-    /// It is not saved again before this.
+    /// Earliest time of the next save.
     next_save: Instant,
-    /// What endpoints have said here, for every daemon.
+    /// Updates received from endpoints, for all linked daemons.
     local_updates: NewsBatch,
-    /// What other control VMs have told, for every daemon.
+    /// Updates received from other control VMs, for all linked daemons.
     relayed_updates: NewsBatch,
-    /// Heartbeats that say nothing new, for the other control VMs.
+    /// Heartbeats without changes, for the other control VMs.
     heartbeats: NewsBatch,
-    /// What an entry has heard from others than the leader.
+    /// Updates that an entry received from control VMs other than the leader, for the leader.
     leader_updates: NewsBatch,
-    /// When the registry is next searched for endpoints that are silent or long gone.
     next_expiry_scan: Instant,
     disabled: Disabled,
 }
 
 impl Node {
-    /// A daemon that keeps no state of its own on disk.
+    /// Creates a daemon without a control replica, which stores nothing on disk.
     pub fn entry(options: &NodeOptions, now: Instant) -> Node {
         Node {
             vm: options.vm.clone(),
@@ -169,7 +175,7 @@
         }
     }
 
-    /// A daemon that is also a control replica.
+    /// Creates a daemon that is also a control replica.
     pub fn replica(
         options: &NodeOptions,
         id: agreement::ReplicaId,
@@ -184,55 +190,55 @@
         node
     }
 
-    /// The configuration in force here, if any.
+    /// The active configuration, if any.
     pub fn active_config(&self) -> Option<&Arc<ActiveConfig>> {
         self.client.active_config()
     }
 
-    /// Whether the configuration in force is confirmed to be current.
+    /// Whether the active configuration was recently confirmed to be current.
     pub fn is_fresh(&self) -> bool {
         self.client.is_fresh()
     }
 
-    /// How a request stands under which endpoints may have ended.
+    /// Crash record of a request.
     pub fn standing(&self, request: &RequestDigest) -> Standing {
         self.suspects.standing(request)
     }
 
-    /// Whether there are any requests under which endpoints have ended.
+    /// Whether any request has a crash record.
     pub fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
-    /// The limit that an endpoint names, if it does.
+    /// The rate limit that an endpoint has reported, if any.
     pub fn rate_limit(&self, endpoint: &str) -> Option<RateLimit> {
         self.placement.local().throttle.limit(endpoint)
     }
 
-    /// Whether an endpoint may be sent a request of this daemon, as far as it has rejected some.
+    /// Whether an endpoint that has rejected requests may be sent another one by this daemon.
     pub fn admission(&self, endpoint: &str, now: Instant) -> Admission {
         self.placement.local().local_admission(endpoint, now)
     }
 
-    /// The table of endpoints that have rejected requests, for those that this daemon sends by itself.
+    /// Backoff state of endpoints, for requests that this daemon sends without the scheduler.
     pub fn backoffs_mut(&mut self) -> &mut BackoffTable {
         self.placement.backoffs_mut()
     }
 
-    /// The chance that an answer would end within this time, by the lengths and paces that this
-    /// daemon has seen itself.
+    /// Probability that a request completes within this time, estimated from the lengths and
+    /// generation rates that this daemon has observed.
     pub fn completion_probability(&self, req: &Request, within: Duration, now: Instant) -> f64 {
         self.placement.local().completion_probability(req, within, now)
     }
 
-    /// Takes an input and returns what must be done.
+    /// Processes an input and returns the resulting actions.
     pub fn handle(&mut self, input: Input, clocks: Clocks) -> Vec<Output> {
         self.apply(input, clocks);
-        self.deliver_and_publish(clocks);
+        self.propagate_changes(clocks);
         std::mem::take(&mut self.outputs.outputs)
     }
 
-    /// When [`Input::Tick`] is next needed.
+    /// Time at which [`Input::Tick`] is next needed.
     pub fn next_tick(&self) -> Instant {
         let mut next = self.client.next_tick().min(self.placement.next_tick());
         next = next.min(self.directory.next_tick());
@@ -269,7 +275,7 @@
         permits.tick(&mut cx, out);
     }
 
-    /// This daemon's requests for permits, and what else that part of it needs.
+    /// Borrows the permit client together with the state that it uses.
     fn permits_context(
         &mut self,
         now: Instant,
@@ -280,7 +286,7 @@
         (&mut self.permits, cx, &mut self.outputs)
     }
 
-    /// What is known of suspects, and what else that part of the daemon needs.
+    /// Borrows the suspect tracker together with the state that it uses.
     fn suspects_context(
         &mut self,
         clocks: Clocks,
@@ -295,7 +301,7 @@
         (&mut self.suspects, cx, &mut self.outputs)
     }
 
-    /// Takes what has changed about suspects.
+    /// Applies changes of crash records and acknowledges them with the next poll.
     fn on_suspect_news(&mut self, news: &SuspectNews, now: Instant) {
         self.suspects.on_news(news, &mut self.outputs);
         let state = self.suspects.known().state();
@@ -331,8 +337,9 @@
         self.control.as_ref().is_some_and(ControlReplica::leads)
     }
 
-    /// Delivers messages to this node itself and tells the parts of news from each other.
-    fn deliver_and_publish(&mut self, clocks: Clocks) {
+    /// Propagates changes between the components, and delivers messages that this node has sent to
+    /// itself, until none is left.
+    fn propagate_changes(&mut self, clocks: Clocks) {
         loop {
             self.client.set_replicas(self.directory.known());
             if let Some(control) = &self.control {
@@ -342,10 +349,10 @@
             self.queue_updates_for_leader(clocks.now);
             self.flush_endpoint_news(clocks.now);
             self.save_endpoints_if_due(clocks.now);
-            let halls_back = self.client.take_restored_halls();
-            self.on_halls_restored(halls_back.as_deref().unwrap_or_default(), clocks.now);
-            let registered = self.publish_endpoints_if_due(halls_back.is_some(), clocks.now);
-            if active_config.is_some() || registered {
+            let restored_halls = self.client.take_restored_halls();
+            self.on_halls_restored(restored_halls.as_deref().unwrap_or_default(), clocks.now);
+            let published = self.publish_endpoints_if_due(restored_halls.is_some(), clocks.now);
+            if active_config.is_some() || published {
                 self.configure_schedulers(clocks.now);
             }
             if let Some(active_config) = active_config {
@@ -371,7 +378,7 @@
     }
 }
 
-/// A load report with the time at which it was true.
+/// Converts a load report, with its age as a point in time.
 pub(crate) fn load_report(report: &Report, now: Instant) -> LoadReport {
     LoadReport {
         at: Instant(now.0.saturating_sub(report.age_ms.saturating_mul(1_000))),
@@ -381,7 +388,7 @@
     }
 }
 
-/// A version and the hash of its content.
+/// Version of a configuration and the hash of its content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct VersionHash {
     pub(crate) version: u64,
--- a/crates/core/src/node/options.rs
+++ b/crates/core/src/node/options.rs
@@ -1,4 +1,4 @@
-//! Who a daemon is and how it is timed.
+//! Identity and timing of a node.
 
 use std::time::Duration;
 
@@ -9,38 +9,38 @@
     units::{Instant, UnixMillis},
 };
 
-/// Who this daemon is.
+/// Identity and settings of a node.
 #[derive(Debug, Clone)]
 pub struct NodeOptions {
     /// Name of its VM.
     pub vm: VmName,
-    /// Names of control VMs through which the others are found.
+    /// Names of control VMs that are contacted first, to discover the others.
     pub seeds: Vec<VmName>,
-    /// Names of the control VMs that found the group, the one that writes its first entry
-    /// first. Empty on a VM that came later, which founds nothing.
+    /// Names of the control VMs that bootstrap the control group; the first one writes the first log
+    /// entry. Empty on a VM that joins an existing group.
     pub founders: Vec<VmName>,
-    /// Most control replicas that vote.
+    /// Maximum number of voting control replicas.
     pub max_voters: usize,
     /// Whether callers are sent to this daemon.
     pub takes_callers: bool,
-    /// How often endpoints that register themselves send a heartbeat.
+    /// Interval between heartbeats of endpoints that register themselves.
     pub endpoint_heartbeat: Duration,
-    /// Time bounds.
+    /// Intervals and timeouts.
     pub timing: NodeTiming,
-    /// Random number of this run of the daemon.
+    /// Random number, different in each run of each daemon.
     pub seed: u64,
-    /// Mechanisms that are switched off.
+    /// Mechanisms that are disabled.
     pub disabled: Disabled,
 }
 
-/// Time bounds of a node.
+/// Intervals and timeouts of a node.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeTiming {
-    /// Time bounds of the control replica.
+    /// Intervals and timeouts of the control replica.
     pub agreement: agreement::Timing,
-    /// Interval between polls.
+    /// Interval between polls of the leader.
     pub poll: Duration,
-    /// Time without confirmation after which the configuration counts as stale.
+    /// Time without confirmation after which the configuration is stale.
     pub stale_after: Duration,
 }
 
@@ -62,6 +62,6 @@
 pub struct Clocks {
     /// Monotonic time.
     pub now: Instant,
-    /// Wall time; used only to date entries of the log.
+    /// Wall-clock time, used only for timestamps in replicated records.
     pub wall: UnixMillis,
 }
--- a/crates/core/src/node/placement_client/mod.rs
+++ b/crates/core/src/node/placement_client/mod.rs
@@ -125,8 +125,8 @@
         for (name, until) in &engines.cold {
             self.local.endpoint_cold(name, *until, now);
         }
-        for name in engines.known.keys() {
-            self.local.endpoint_leaving(name, engines.closed.contains(name.as_str()));
+        for name in engines.registered.keys() {
+            self.local.endpoint_leaving(name, engines.draining.contains(name.as_str()));
         }
     }
 
