--- a/crates/server/src/relay/admission.rs
+++ b/crates/server/src/relay/admission.rs
@@ -1,4 +1,4 @@
-//! Finds out who asks for what, and whether this daemon may serve it.
+//! Request admission: authentication, routing and the freshness of the configuration.
 
 use std::{cell::OnceCell, sync::Arc, time::Duration};
 
@@ -21,39 +21,43 @@
     telemetry::EventId,
 };
 
-/// Pause between two looks at the configuration.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
-/// When to come back to a daemon without a current configuration: one that has just started
-/// has one after 0.4 s (measured after a loss of power everywhere).
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// `Retry-After` of a daemon without a current configuration: the usual time to get one after a
+/// start.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(400);
-/// A caller that is sent elsewhere may come back at once: retries reach other daemons.
+/// `Retry-After` of a stopping daemon: a retry reaches another daemon at once.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(10);
 
-/// A request that was refused before it was routed.
-pub(super) struct Refused {
+/// A request that was refused before routing.
+pub(super) struct RefusedRequest {
     pub(super) id: String,
     pub(super) error: RequestError,
 }
 
 impl Relay {
-    /// Reads a request and finds its route and workspace.
-    pub(super) async fn admit(&self, head: request::Parts, body: Incoming) -> Result<Job, Refused> {
+    /// Reads a request and resolves its route and workspace.
+    pub(super) async fn admit(
+        &self,
+        head: request::Parts,
+        body: Incoming,
+    ) -> Result<Job, RefusedRequest> {
         let received_at = Instant::now();
-        let refused = |id: &str, error| Refused { id: id.to_owned(), error };
+        let refused = |id: &str, error| RefusedRequest { id: id.to_owned(), error };
         check_framing(&head).map_err(|e| refused("", e))?;
         let caller = self.protocol.decode_request(&head).map_err(|e| refused("", e))?;
         let id = caller.id.clone();
         let limits = self.node.view().active_config().map(|f| f.config.limits.clone());
         let limits = limits.unwrap_or_default();
-        // Read first, so that the caller is answered on a connection that is at rest.
+        // The body is read first, so that an early refusal leaves the connection usable.
         let body = read_whole(body, limits.max_body as usize, limits.idle_timeout)
             .await
             .map_err(|e| refused(&id, read_error(&e)))?;
-        let most =
+        let max_wait =
             caller.time_left.unwrap_or(self.options.config_recovery_timeout) / QUEUE_TIME_DIVISOR;
-        let most = if self.is_enabled(Mechanism::StartPatience) { most } else { Duration::ZERO };
-        let Some(config) = self.current_config(received_at + most).await else {
-            let message = "this daemon has no configuration that is known to be current";
+        let max_wait =
+            if self.is_enabled(Mechanism::StartPatience) { max_wait } else { Duration::ZERO };
+        let Some(config) = self.current_config(received_at + max_wait).await else {
+            let message = "this daemon has no current configuration";
             return Err(refused(&id, not_ready(message, NOT_READY_RETRY_AFTER)));
         };
         let route = self.route(&config.config, &caller.host, head.uri.path());
@@ -84,9 +88,7 @@
         Ok(job)
     }
 
-    /// Refuses a generation that a stopping daemon would likely cut off when it ends, if its
-    /// caller is more likely to come to another daemon. Where all entries stop in turn this refuses
-    /// 6 requests a day in place of 28, and 45 streams are lost in place of 54 (8 paired days).
+    /// Refuses a generation on a stopping daemon if it is more likely to complete on another one.
     fn check_not_stopping(&self, job: &Job) -> Result<(), RequestError> {
         let view = self.node.view();
         let Some(left) = view.time_to_end() else { return Ok(()) };
@@ -100,23 +102,23 @@
                 event = EventId::TakenWhileStopping.number(), id = job.caller.id.as_str(),
                 left_ms = left.as_millis() as u64, chance_whole = whole,
                 chance_elsewhere = elsewhere;
-                "a stopping daemon takes a generation"
+                "a stopping daemon accepted a generation"
             );
             return Ok(());
         }
         Err(not_ready("this daemon is stopping", STOPPING_RETRY_AFTER))
     }
 
-    /// The route of a request, if this daemon may serve it.
+    /// Finds the route of a request.
     fn route(&self, config: &Config, host: &str, path: &str) -> Result<NamedRoute, RequestError> {
         let Some(route) = config.routes.find(host, path) else {
-            let message = format!("no route leads from {host}{path}");
+            let message = format!("no route matches {host}{path}");
             return Err(RequestError::new(ErrorKind::NotFound, message));
         };
         Ok(route.clone())
     }
 
-    /// The configuration in force if it is current, or becomes so by then.
+    /// The active configuration, once it is current; `None` if it is not by `until`.
     async fn current_config(&self, until: Instant) -> Option<Arc<ActiveConfig>> {
         loop {
             let current = self.node.view().active_config().filter(|_| self.is_config_current());
@@ -126,12 +128,11 @@
             if until.min(recovers) <= Instant::now() {
                 return None;
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Keeps since when this daemon cannot confirm its configuration; returns by when it should
-    /// be able to again, if it cannot now.
+    /// Tracks since when the configuration is not current; returns when recovery is due.
     fn track_staleness(&self, current: bool) -> Option<Instant> {
         if current {
             self.unconfirmed_since.set(None);
@@ -142,32 +143,33 @@
         Some(since + self.options.config_recovery_timeout)
     }
 
-    /// Whether the configuration in force was confirmed recently enough to run requests by
-    /// it. Looked at anew before each attempt: the VM may have been suspended meanwhile.
+    /// Whether the active configuration was confirmed recently enough. Checked before each attempt,
+    /// since the VM may have been suspended in between.
     fn is_config_current(&self) -> bool {
         let confirmed = self.node.view().confirmed();
         confirmed.is_some_and(|at| self.node.now().since(at) < self.options.max_config_age)
     }
 
-    /// Whether a request may still be sent to an endpoint.
+    /// Checks again, before sending, that the configuration is current and the key still valid.
     pub(super) fn recheck_admission(&self, job: &Job) -> Result<(), RequestError> {
         let config = self.node.view().active_config().filter(|_| self.is_config_current());
         let Some(config) = config else {
-            let message = "no control VM has confirmed the configuration lately";
+            let message =
+                "the configuration is not current: no control VM has confirmed it recently";
             return Err(RequestError::new(ErrorKind::NotReady, message));
         };
         let Some(key) = job.caller.key.as_deref().filter(|_| job.workspace.is_some()) else {
             return Ok(());
         };
         if config.config.workspace_of_key(key) != job.workspace.as_deref() {
-            let message = "the key was taken away while the request waited";
+            let message = "the workspace key was revoked while the request was queued";
             return Err(RequestError::new(ErrorKind::Unauthorized, message));
         }
         Ok(())
     }
 }
 
-/// The workspace of a caller; none where the route takes callers without a key.
+/// The caller's workspace; `None` if the key is invalid or missing and the route needs none.
 fn workspace(
     config: &Config,
     route: &NamedRoute,
@@ -176,7 +178,10 @@
     let workspace = key.and_then(|key| config.workspace_of_key(key));
     let needs_key = !route.spec.public && !config.workspaces.is_empty();
     if needs_key && workspace.is_none() {
-        return Err(RequestError::new(ErrorKind::Unauthorized, "no workspace has this key"));
+        return Err(RequestError::new(
+            ErrorKind::Unauthorized,
+            "the key is missing or belongs to no workspace",
+        ));
     }
     Ok(workspace.map(Into::into))
 }
@@ -187,23 +192,23 @@
     error
 }
 
-/// Refuses heads that two readers could take for different requests.
+/// Rejects ambiguous framing, which enables request smuggling.
 fn check_framing(head: &request::Parts) -> Result<(), RequestError> {
     let bad = |message: &str| Err(RequestError::new(ErrorKind::BadRequest, message));
     let lengths = head.headers.get_all(header::CONTENT_LENGTH).iter().count();
     let encodings: Vec<_> = head.headers.get_all(header::TRANSFER_ENCODING).iter().collect();
     if 0 < lengths && !encodings.is_empty() {
-        return bad("give Content-Length or Transfer-Encoding, not both");
+        return bad("Content-Length and Transfer-Encoding are both present");
     }
     if 1 < lengths {
-        return bad("Content-Length is given twice");
+        return bad("duplicate Content-Length header");
     }
     let chunked = |value: &http::HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"chunked");
     if 1 < encodings.len() || !encodings.iter().all(|value| chunked(value)) {
-        return bad("Transfer-Encoding must be chunked, once");
+        return bad("the only supported Transfer-Encoding is chunked");
     }
     if head.headers.get_all(header::HOST).iter().count() != 1 {
-        return bad("give one Host");
+        return bad("exactly one Host header is required");
     }
     Ok(())
 }
@@ -211,13 +216,14 @@
 fn read_error(error: &ReadError) -> RequestError {
     match error {
         ReadError::TooLarge => {
-            RequestError::new(ErrorKind::TooLarge, "the body is larger than the limit")
+            RequestError::new(ErrorKind::TooLarge, "the request body exceeds the size limit")
         }
         ReadError::TooSlow => {
-            RequestError::new(ErrorKind::BadRequest, "the body took too long to come")
-        }
-        ReadError::Broken(problem) => {
-            RequestError::new(ErrorKind::BadRequest, format!("the body broke off: {problem}"))
+            RequestError::new(ErrorKind::BadRequest, "timed out reading the request body")
         }
+        ReadError::Broken(error) => RequestError::new(
+            ErrorKind::BadRequest,
+            format!("failed to read the request body: {error}"),
+        ),
     }
 }
--- a/crates/server/src/relay/backoff.rs
+++ b/crates/server/src/relay/backoff.rs
@@ -1,5 +1,5 @@
-//! Endpoints that take nothing new of this daemon: they have asked it to back off, or leave. Whoever has chosen an
-//! endpoint, this is looked at once more when the request is about to be sent.
+//! Endpoints that accept no new requests because they asked this daemon to back off or are leaving.
+//! Checked when an endpoint is selected and again just before sending.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,14 +13,14 @@
 use super::{Job, Relay, call::no_endpoint_error, rate_limit::AttemptKind};
 use crate::runtime::NodeHandle;
 
-/// Pause between two looks at an endpoint that has not answered the request before.
+/// How soon to recheck an endpoint with an unanswered probe request.
 const LOOK_AGAIN: Duration = Duration::from_millis(10);
 
-/// The endpoints of a service, as far as they have rejected requests.
+/// The admissible endpoints of a service.
 pub(super) struct AdmittedEndpoints {
-    /// Those that a call may be sent to; those of last resort only if there are no others.
+    /// Endpoints that a call may be sent to; last-resort ones only if there are no others.
     pub(super) endpoints: Vec<Registered>,
-    /// When another one may take one.
+    /// When the next endpoint becomes admissible.
     next_open_at: Option<units::Instant>,
 }
 
@@ -32,23 +32,23 @@
         }
         match self.current_run(endpoint) {
             Some(known) if !known.out && !known.open => {
-                Err("the endpoint takes no new work".into())
+                Err("the endpoint accepts no new requests".into())
             }
             _ => self.may_resume(endpoint),
         }
     }
 
-    /// Whether a generation may go on at the endpoint that has its memory.
+    /// Whether a generation may resume on the endpoint that holds its KV cache.
     pub(super) fn may_resume(&self, endpoint: &Registered) -> Result<(), String> {
         match self.current_run(endpoint) {
-            None => Err("the endpoint has just ended".into()),
-            Some(known) if known.out => Err("its data hall is out of service".into()),
+            None => Err("the endpoint is no longer registered".into()),
+            Some(known) if known.out => Err("the endpoint's data hall is out of service".into()),
             Some(_) => Ok(()),
         }
     }
 
-    /// Whether an endpoint may be asked to copy generations elsewhere. One that leaves is, since they are lost
-    /// otherwise.
+    /// Whether an endpoint may be asked to copy KV caches. A leaving endpoint is asked even while
+    /// it backs off, since its generations are lost otherwise.
     pub(super) fn may_request_copies(&self, endpoint: &Registered) -> bool {
         let backs_off = matches!(self.node.admission(&endpoint.id), Admission::BackedOff(_));
         !backs_off || !endpoint.open
@@ -59,7 +59,7 @@
         (known.born == endpoint.born).then_some(known)
     }
 
-    /// The endpoints that an attempt at a call may go to, once there are any.
+    /// The endpoints that an attempt may go to; waits until there is one.
     pub(super) async fn admitted_endpoints(
         &self,
         job: &Job,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Those of these endpoints that an attempt at a call may go to.
+    /// Filters `endpoints` to those that an attempt may go to.
     pub(super) fn admitted(
         &self,
         endpoints: Vec<Registered>,
@@ -110,8 +110,8 @@
         AdmittedEndpoints { endpoints, next_open_at }
     }
 
-    /// Waits until an endpoint may take a call, if the answer then still comes in time; refuses it at once
-    /// otherwise.
+    /// Waits until an endpoint becomes admissible, or refuses the call if that is too late to meet
+    /// its target latency.
     async fn wait_for_admission(
         &self,
         job: &Job,
@@ -138,7 +138,7 @@
         Err(error)
     }
 
-    /// Counts a call as sent to an endpoint that has rejected others lately; nothing to count elsewhere.
+    /// Tracks a call as unanswered if its endpoint has a back-off entry.
     pub(super) fn track_unanswered(&self, endpoint: &Arc<str>) -> Option<UnansweredGuard> {
         let mut in_progress = None;
         self.node.with_backoffs(|backoffs, now| {
@@ -157,7 +157,7 @@
     }
 }
 
-/// Counts a call as not answered while it lives.
+/// Counts a call as unanswered until dropped.
 pub(super) struct UnansweredGuard {
     node: NodeHandle,
     endpoint: Arc<str>,
@@ -166,7 +166,7 @@
 }
 
 impl UnansweredGuard {
-    /// Notes that the endpoint has answered.
+    /// Marks the call as answered.
     pub(super) fn answered(mut self) {
         self.answered = true;
     }
--- a/crates/server/src/relay/call.rs
+++ b/crates/server/src/relay/call.rs
@@ -1,4 +1,4 @@
-//! Plain calls: the least loaded endpoint, and another where that is allowed.
+//! Unary calls: load balancing, retries and hedging.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -25,27 +25,26 @@
     upstream::{SendError, exchange_if},
 };
 
-/// Endpoints that a call is not sent to after all before its caller is told so.
+/// Attempts that may be withheld just before sending, before the call fails.
 const MAX_WITHHELD_ATTEMPTS: usize = 16;
-/// Largest answer that is held until it is whole.
+/// Largest response body that is buffered.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// How an attempt ended.
 enum AttemptEnd {
-    /// The endpoint's whole answer.
+    /// The endpoint's complete response.
     Response { head: response::Parts, body: Bytes, success: bool },
-    /// It was not sent: the endpoint takes nothing new.
+    /// Not sent: the endpoint accepts no new requests.
     Withheld(String),
-    /// The request certainly did not run there.
+    /// Not executed by the endpoint.
     NotRun(String),
-    /// It may have run.
+    /// May have been executed.
     Unknown(String),
-    /// It was not sent: too many endpoints have ended under it, or it had no turn.
+    /// Not sent: the request is quarantined, no endpoint is available or admission was revoked.
     Refused(RequestError),
 }
 
 impl AttemptEnd {
-    /// Its name and details for a line of the log.
+    /// The outcome and detail for the log line.
     fn describe(&self) -> (&'static str, String) {
         match self {
             AttemptEnd::Response { head, success: true, .. } => {
@@ -79,12 +78,12 @@
     running: FuturesUnordered<LocalFuture<'a, AttemptEnd>>,
     /// Endpoints that the call was sent to.
     tried: Rc<RefCell<Vec<Arc<str>>>>,
-    /// Attempts that may have run or still may.
+    /// Attempts that may have been executed or still may be.
     attempts: u32,
     rejections: u32,
-    /// A whole answer of an endpoint that failed, for when nothing better comes.
+    /// The latest error response of an endpoint, returned if no other attempt succeeds.
     failed_response: Option<(response::Parts, Bytes)>,
-    /// What is told when no answer came.
+    /// Reported to the caller if no attempt gets a response.
     last_error: String,
 }
 
@@ -106,8 +105,7 @@
         self.start_attempt(AttemptKind::First);
         let deadline = sleep_until(self.job.deadline);
         let mut deadline = std::pin::pin!(deadline);
-        // One that may be repeated and takes longer than the others explain is sent to a second
-        // endpoint as well.
+        // A repeatable call that takes unusually long is hedged with a second attempt.
         let hedge_delay = self.relay.hedge_delay(&self.job.service);
         let hedge_timer = tokio::time::sleep(hedge_delay.unwrap_or_default());
         let mut hedge_timer = std::pin::pin!(hedge_timer);
@@ -122,14 +120,15 @@
                 }
                 () = hedge_timer.as_mut(), if !hedged => {
                     hedged = true;
-                    // Of a suspect one try runs at a time, and a second one would wait for the first. One that
-                    // was not sent yet is not late at its endpoint.
+                    // Attempts of a suspect request run one at a time, so a hedge would queue
+                    // behind the first. An attempt that still waits to be sent says nothing about
+                    // the endpoint's latency.
                     let is_sent = !self.tried.borrow().is_empty();
                     if is_sent && !self.relay.is_suspect(self.job) {
                         self.start_retry();
                     }
                 }
-                () = deadline.as_mut() => return Err(no_response_error(self.attempts, "the time is over")),
+                () = deadline.as_mut() => return Err(no_response_error(self.attempts, "the deadline has passed")),
             }
         }
     }
@@ -138,7 +137,7 @@
         self.job.route.spec.kind.is_repeatable()
     }
 
-    /// Takes the end of an attempt; returns the final answer if it is one.
+    /// Processes a finished attempt; returns the response if the call is complete.
     fn on_attempt_end(
         &mut self,
         end: AttemptEnd,
@@ -183,7 +182,7 @@
         }
     }
 
-    /// Starts another attempt if the route, the budget and the endpoints allow it.
+    /// Starts another attempt if the route, the retry budget and the endpoints allow it.
     fn start_retry(&mut self) {
         if self.job.route.spec.max_attempts <= self.attempts || self.job.time_left().is_zero() {
             return;
@@ -196,7 +195,7 @@
         }
     }
 
-    /// Whether any endpoint is left that the call was not sent to and may be.
+    /// Whether an admissible endpoint is left that the call was not sent to.
     fn has_untried(&self) -> bool {
         let open = self.relay.open_endpoints(self.job);
         let admitted = self.relay.admitted(open, AttemptKind::Retry, &self.tried.borrow());
@@ -210,12 +209,12 @@
     }
 }
 
-/// The error for a call to a service that no endpoint serves now.
+/// The error for a call to a service without an available endpoint.
 pub(super) fn no_endpoint_error(relay: &Relay, service: &str) -> RequestError {
     let view = relay.node.view();
     if !view.open_endpoints(service).is_empty() {
-        // They are cold, and bear no more for now.
-        let message = format!("the endpoints of {service} have just started");
+        // All are cold and at their rate limit.
+        let message = format!("all endpoints of {service} are starting up and at their rate limit");
         return RequestError::new(ErrorKind::Overloaded, message);
     }
     if view.is_out_of_service(service) {
@@ -225,7 +224,7 @@
     RequestError::new(ErrorKind::NoEndpoint, format!("no live endpoint serves {service}"))
 }
 
-/// Makes one attempt at an endpoint, once it may be sent. One that is withheld at the last moment goes elsewhere.
+/// Makes one attempt; if it is withheld just before sending, selects another endpoint.
 async fn attempt(
     relay: &Relay,
     job: &Job,
@@ -259,7 +258,7 @@
         Err(error) => return AttemptEnd::Refused(error),
     };
     tried.borrow_mut().push(endpoint.id.clone());
-    // It may have waited for its turn.
+    // The configuration or the key may have changed while the attempt waited.
     if let Err(error) = relay.recheck_admission(job) {
         return AttemptEnd::Refused(error);
     }
@@ -298,23 +297,23 @@
     end
 }
 
-/// What became of an attempt that was sent.
+/// The result of one attempt.
 struct AttemptReport {
     end: AttemptEnd,
-    /// How well the endpoint did.
+    /// Reported to the load balancer.
     outcome: Outcome,
-    /// What it says of itself.
+    /// Signals in the endpoint's response.
     signals: Signals,
 }
 
 impl AttemptReport {
-    /// One without an answer that the endpoint gave to it.
+    /// An attempt without signals from the endpoint.
     fn new(end: AttemptEnd, outcome: Outcome) -> AttemptReport {
         AttemptReport { end, outcome, signals: Signals::default() }
     }
 }
 
-/// Sends the request and waits for the whole answer.
+/// Sends the request and reads the complete response.
 async fn send(
     relay: &Relay,
     job: &Job,
@@ -344,11 +343,11 @@
         ResponseClass::Executed { success } => success,
         ResponseClass::Rejected(RejectionReason::Overloaded) => {
             let signals = relay.on_rejection(&job.service, endpoint, sent_at, &open.head);
-            let end = AttemptEnd::NotRun("the endpoint is full".into());
+            let end = AttemptEnd::NotRun("the endpoint rejected the request: overloaded".into());
             return AttemptReport { end, outcome: Outcome::Error, signals };
         }
         ResponseClass::Rejected(RejectionReason::WrongEndpoint) => {
-            let end = AttemptEnd::NotRun("another endpoint has the address".into());
+            let end = AttemptEnd::NotRun("the address belongs to another endpoint run".into());
             return AttemptReport::new(end, Outcome::Unreachable);
         }
         ResponseClass::Invalid(error) => {
--- a/crates/server/src/relay/event_stream.rs
+++ b/crates/server/src/relay/event_stream.rs
@@ -1,18 +1,16 @@
-//! The events that an endpoint sends of one generation.
+//! The event stream of one generation from one endpoint.
 
 use crate::upstream::{AnswerBody, Event, EventSplitter};
 
-/// What comes next on a stream.
 pub(super) enum StreamItem {
-    /// An event.
     Event(Event),
-    /// The stream ended as it should.
+    /// The stream ended cleanly.
     End,
-    /// It broke off.
+    /// The connection or the framing failed.
     Error(String),
 }
 
-/// Events on the connection to one endpoint.
+/// Splits a response body into events.
 pub(super) struct EventStream {
     body: AnswerBody,
     splitter: EventSplitter,
@@ -23,7 +21,7 @@
         EventStream { body, splitter: EventSplitter::default() }
     }
 
-    /// The next step. Nothing is lost when the future is dropped.
+    /// The next item. Cancel safe.
     pub(super) async fn next(&mut self) -> StreamItem {
         loop {
             if let Some(event) = self.splitter.next_event() {
@@ -37,7 +35,7 @@
                 }
                 Some(Err(error)) => return StreamItem::Error(error),
                 None if self.splitter.has_rest() => {
-                    return StreamItem::Error("the stream ended in the middle of an event".into());
+                    return StreamItem::Error("the stream ended within an event".into());
                 }
                 None => return StreamItem::End,
             }
--- a/crates/server/src/relay/failed_attempt.rs
+++ b/crates/server/src/relay/failed_attempt.rs
@@ -1,9 +1,8 @@
-//! Finds out whether an endpoint has ended under a request.
+//! Probes whether an endpoint has crashed after an attempt on it failed.
 //!
-//! An attempt that breaks off tells only that its connection has ended. An endpoint that has ended
-//! refuses the next connection; one that only failed this request takes it. So does one that is about to
-//! end: a process that ends closes its connections one after the other, and the one that it listens by may
-//! be the last. It is watched for a while, beside whatever comes next.
+//! A crashed endpoint refuses a new connection; one that only failed the request accepts it. So may
+//! a process that is still terminating, as it closes its listening socket last. An endpoint that
+//! accepts the connection is therefore watched for a while in the background.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -25,20 +24,19 @@
     upstream::socket,
 };
 
-/// How long an endpoint is watched that takes connections after an attempt broke off: far longer than a
-/// process takes from closing its first connection to closing its last.
+/// How long an endpoint that accepted the probe is watched: well beyond the time that a process
+/// takes to close all its sockets.
 const WATCH_DURATION: Duration = Duration::from_secs(2);
-/// Connections of one endpoint that may be closed while it is watched; one that closes more does so by
-/// habit.
+/// Probes of one endpoint that may be closed by it during a watch. More mean that it closes idle
+/// connections.
 const MAX_WATCH_PROBES: usize = 4;
-/// Endpoints that one daemon watches at a time, with a connection each. The ends of others are known by
-/// their heartbeats.
+/// Endpoints watched at a time, with one connection each. Other crashes are detected by missing
+/// heartbeats.
 pub(super) const MAX_WATCHED_ENDPOINTS: usize = 256;
 
 impl Relay {
-    /// Finds out whether an endpoint has ended, after an attempt there broke off when its caller had
-    /// so many events. Before this is known the request is not sent again: the next attempt may be a
-    /// trial.
+    /// Reports a failed attempt whose caller had received `events` events. Must complete before a
+    /// retry, which then runs as a trial if the endpoint has crashed.
     pub(super) async fn on_attempt_failed(
         &self,
         job: &Job,
@@ -54,12 +52,11 @@
             request = job.digest(self).to_string().as_str(), endpoint = &*endpoint.id,
             born = endpoint.born, events = events, end = outcome_name(after),
             trial = turn.trial.is_some();
-            "an attempt broke off"
+            "an attempt failed before its response was complete"
         );
         let broke_off = self.failed_attempt(job, turn, endpoint, after);
         self.node.input(Input::FailedAttempt(broke_off.clone()));
         let Some(connection) = connection else { return };
-        // Without a permit there are many already.
         let Ok(permit) = self.watch_permits.clone().try_acquire_owned() else { return };
         let watch = EndpointWatch {
             node: self.node.clone(),
@@ -90,7 +87,7 @@
     }
 }
 
-/// An endpoint that took a connection after an attempt there had broken off.
+/// Watches an endpoint that accepted the probe after a failed attempt.
 struct EndpointWatch {
     node: NodeHandle,
     metrics: Rc<Metrics>,
@@ -102,7 +99,7 @@
 }
 
 impl EndpointWatch {
-    /// Tells the node if the endpoint ends soon.
+    /// Reports the endpoint as crashed if it refuses connections before the watch ends.
     async fn run(self, mut connection: TcpStream) {
         let until = Instant::now() + WATCH_DURATION;
         for _ in 0..MAX_WATCH_PROBES {
@@ -110,7 +107,7 @@
                 return;
             }
             connection = match probe(self.address, self.limit).await {
-                // It is there, and closed only the connection.
+                // The endpoint is up and closed only the probe connection.
                 (_, Some(next)) => next,
                 (ProbeOutcome::ConnectionRefused, None) => return self.report_ended(),
                 (_, None) => return,
@@ -125,21 +122,21 @@
             request = self.broke_off.request.to_string().as_str(),
             endpoint = &*self.broke_off.endpoint, end = "closed",
             trial = self.broke_off.trial.is_some();
-            "an endpoint ended after an attempt there had broken off"
+            "an endpoint stopped accepting connections after a failed attempt"
         );
         let broke_off = FailedAttempt { probe: ProbeOutcome::ConnectionRefused, ..self.broke_off };
         self.node.input(Input::FailedAttempt(broke_off));
     }
 }
 
-/// Waits until the other side closes a connection on which it was asked nothing.
+/// Waits until the peer closes an idle connection.
 async fn wait_for_close(mut connection: TcpStream) {
     let mut unsolicited = [0; 64];
     while connection.read(&mut unsolicited).await.is_ok_and(|bytes| 0 < bytes) {}
 }
 
-/// An attempt whose end is awaited. One that is given up, since its time is over or its caller has left, may
-/// have ended an endpoint that nobody looks at any more: the node waits for a while for word of that.
+/// Reports an attempt that is dropped before it completes, by deadline or disconnect. Nothing
+/// probes its endpoint, so the node waits for other evidence of a crash.
 pub(super) struct AttemptGuard<'a> {
     relay: &'a Relay,
     job: &'a Job,
@@ -158,7 +155,7 @@
         AttemptGuard { relay, job, turn, endpoint, is_complete: false }
     }
 
-    /// The attempt has come to its end.
+    /// Disarms the guard.
     pub(super) fn complete(mut self) {
         self.is_complete = true;
     }
@@ -182,7 +179,7 @@
     }
 }
 
-/// What an endpoint's address says now, and the connection if it takes one.
+/// Connects to an endpoint; returns the connection if it is accepted.
 async fn probe(address: SocketAddr, limit: Duration) -> (ProbeOutcome, Option<TcpStream>) {
     match timeout(limit, socket::connect(address)).await {
         Ok(Ok(connection)) => (ProbeOutcome::Connected, Some(connection)),
--- a/crates/server/src/relay/generation.rs
+++ b/crates/server/src/relay/generation.rs
@@ -1,4 +1,4 @@
-//! Starts a generation: places it, sends it and waits for its first event.
+//! Starts a generation: acquires a placement, sends the request and waits for the first event.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -32,27 +32,27 @@
     upstream::{Event, SendError, exchange_if},
 };
 
-/// Endpoints that a request is not sent to after all, one after the other, before its caller is told so.
+/// Attempts in a row that may be withheld just before sending, before the request fails.
 pub(super) const MAX_WITHHELD_ATTEMPTS: usize = 16;
-/// Events that may wait for a slow caller.
+/// Events buffered for a slow caller.
 const MAX_BUFFERED_EVENTS: usize = 64;
 
-/// An attempt that brought an answer.
+/// A response to an attempt.
 pub(super) enum Opened {
-    /// The stream, with its first event unless it ended without any.
+    /// A stream and its first event; `None` if it ended without events.
     Stream { head: response::Parts, event_stream: EventStream, first: Option<Event> },
-    /// The endpoint failed; this is its whole answer.
+    /// The endpoint's complete error response.
     Failed { head: response::Parts, body: bytes::Bytes },
 }
 
-/// Why an attempt brought none.
+/// Why an attempt got no response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum OpenError {
-    /// It was not sent: the endpoint takes nothing new.
+    /// Not sent: the endpoint accepts no new requests.
     Withheld(String),
-    /// The request certainly did not run there.
+    /// Not executed by the endpoint.
     NotRun(String),
-    /// It may have run.
+    /// May have been executed.
     Unknown(String),
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// A generation that has a place and an answer.
+/// A generation with a placement and a response.
 struct StartedGeneration {
     placed: Placed,
     turn: QuarantineTurn,
@@ -97,7 +97,7 @@
         let turn = relay.quarantine_turn(job).await.map_err(placement_error)?;
         let placed = acquire_placement(relay, job, avoid.clone(), turn.is_isolated());
         let placed = until(job.deadline, placed).await;
-        let placed = placed.map_err(|_| no_response_error(attempts, "the time is over"))?;
+        let placed = placed.map_err(|_| no_response_error(attempts, "the deadline has passed"))?;
         let (placed, reservation) = placed.map_err(placement_error)?;
         relay.recheck_admission(job)?;
         if relay.is_turn_stale(job, &turn) {
@@ -107,14 +107,15 @@
             ResumeFrom { last_event_id: job.caller.last_event_id, kv_copy: None, reservation };
         let opened = open_on_endpoint(relay, job, &turn, placed.endpoint(), &resume_from);
         let opened = until(job.deadline, opened).await;
-        let opened = opened.map_err(|_| no_response_error(attempts + 1, "the time is over"))?;
+        let opened =
+            opened.map_err(|_| no_response_error(attempts + 1, "the deadline has passed"))?;
         let endpoint = placed.endpoint().clone();
         let error = match opened {
             Ok(Opened::Failed { .. })
                 if spec.kind.is_repeatable() && attempts + 1 < spec.max_attempts =>
             {
                 attempts += 1;
-                "the endpoint failed".to_owned()
+                "the endpoint returned an error".to_owned()
             }
             Ok(opened) => return Ok(StartedGeneration { placed, turn, opened }),
             Err(OpenError::Withheld(error)) => {
@@ -140,25 +141,21 @@
             }
         };
         if !relay.try_acquire_retry(&job.service) {
-            return Err(no_response_error(
-                attempts,
-                &format!("no more repeats are allowed now: {error}"),
-            ));
+            return Err(no_response_error(attempts, &format!("retry budget exhausted: {error}")));
         }
         avoid.push(endpoint);
     }
 }
 
-/// Finds a place, and the name of the reservation there if the engine keeps one. While no endpoint is
-/// known, as for the length of a heartbeat after all VMs were started anew, or none of those that this
-/// daemon has drawn by itself has room, it looks again for as long as a request may wait for a place.
+/// Acquires a placement, and a reservation if the engine grants one. Polls within the request's
+/// `max_wait` while no endpoint is known (for example during the first heartbeat interval after a
+/// full restart) or none of the sampled engines has capacity.
 pub(super) async fn acquire_placement(
     relay: &Relay,
     job: &Job,
     avoid: Vec<Arc<str>>,
     isolated: bool,
 ) -> Result<(Placed, Option<String>), RequestError> {
-    /// Pause between two looks.
     const POLL_INTERVAL: Duration = Duration::from_millis(20);
     loop {
         let mut req = job.place_request(avoid.clone(), isolated);
@@ -170,7 +167,7 @@
             Ok(mut placed) => match confirm_placement(relay, job, &mut placed).await {
                 Ok(reservation) => return Ok((placed, reservation)),
                 Err(NoCapacity) => {
-                    RequestError::new(ErrorKind::Overloaded, "no engine that was asked has room")
+                    RequestError::new(ErrorKind::Overloaded, "no sampled engine has capacity")
                 }
             },
             Err(e) if e.kind == ErrorKind::NoEndpoint => e,
@@ -209,7 +206,7 @@
     opened
 }
 
-/// Name and details of an attempt's end for a line of the log.
+/// The outcome and detail for the log line.
 fn describe_result(opened: &Result<Opened, OpenError>) -> (&'static str, String) {
     match opened {
         Ok(Opened::Stream { first, .. }) => {
@@ -232,7 +229,7 @@
     signals: &mut Signals,
 ) -> Result<Opened, OpenError> {
     let Some(known) = relay.node.view().endpoint(endpoint) else {
-        return Err(OpenError::Withheld("the endpoint has just ended".into()));
+        return Err(OpenError::Withheld("the endpoint is no longer registered".into()));
     };
     let guard = AttemptGuard::new(relay, job, turn, &known);
     let opened = send_to(relay, job, turn, &known, resume_from, signals).await;
@@ -256,7 +253,8 @@
         || relay.on_attempt_failed(job, turn, known, resume_from.last_event_id.unwrap_or(0));
     let req = job.request(&*relay.protocol, &known.id, known.address, resume_from);
     let sent_at = relay.node.now();
-    // What its memory lies at may go on there whatever it says: it runs there already.
+    // A generation may resume on the engine that holds its KV cache even if that engine accepts no
+    // new requests.
     let resumes_in_place =
         resume_from.kv_copy.as_ref().is_some_and(|copy| copy.source == known.address);
     let may_send =
@@ -278,11 +276,11 @@
     match relay.protocol.classify_response(&job.caller.id, &open.head) {
         ResponseClass::Rejected(RejectionReason::Overloaded) => {
             *signals = relay.on_rejection(&job.service, known, sent_at, &open.head);
-            return Err(OpenError::NotRun("the endpoint is full".into()));
+            return Err(OpenError::NotRun("the endpoint rejected the request: overloaded".into()));
         }
         ResponseClass::Rejected(RejectionReason::WrongEndpoint) => {
             report_failure();
-            return Err(OpenError::NotRun("another endpoint has the address".into()));
+            return Err(OpenError::NotRun("the address belongs to another endpoint run".into()));
         }
         ResponseClass::Invalid(error) => {
             relay.on_control_response(&job.service, known, sent_at, &open.head);
@@ -293,7 +291,7 @@
         }
         ResponseClass::Executed { success: false } => {
             *signals = relay.on_response(&job.service, known, sent_at, &open.head);
-            /// Largest answer of an endpoint that failed.
+            /// Largest error response body that is buffered.
             const MAX_ERROR_BODY_BYTES: usize = 1024 * 1024;
             return match open.body.collect(MAX_ERROR_BODY_BYTES).await {
                 Ok(body) => Ok(Opened::Failed { head: open.head, body }),
--- a/crates/server/src/relay/job.rs
+++ b/crates/server/src/relay/job.rs
@@ -1,4 +1,4 @@
-//! One admitted request.
+//! An admitted request.
 
 use std::{cell::OnceCell, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,67 +16,67 @@
 use super::{Attempt, CallerRequest, InProgressGuard, KvCopy, Protocol, Relay};
 use crate::telemetry::{EventId, Metrics};
 
-/// Rank of requests whose tier is not known: after all others.
+/// Rank of a request with an unknown tier: after all others.
 const UNKNOWN_TIER_RANK: u64 = 100;
-/// Most urgent and least urgent priority that engines tell apart.
+/// Priorities of engines are 0 (most urgent) to this.
 const LOWEST_ENGINE_PRIORITY: u64 = 9;
-/// Left of the target time for the way to the endpoint and back.
+/// Reserved from the target latency for the round trip to the endpoint.
 const NETWORK_ROUND_TRIP: Duration = Duration::from_millis(20);
 
-/// An admitted request.
+/// An admitted request with its route, deadline and configuration.
 pub(crate) struct Job {
     pub(super) head: request::Parts,
     pub(super) body: Bytes,
     pub(super) caller: CallerRequest,
     pub(super) config: Arc<ActiveConfig>,
     pub(super) route: NamedRoute,
-    /// The service that it goes to.
+    /// The service that it is routed to.
     pub(super) service: String,
     pub(super) workspace: Option<Arc<str>>,
-    /// Rank of its tier, 1 first.
+    /// Rank of its tier; 1 is served first.
     pub(super) rank: u64,
     pub(super) received_at: Instant,
-    /// When the final answer is due.
+    /// When the response must be complete.
     pub(super) deadline: Instant,
     pub(super) in_progress: Option<InProgressGuard>,
-    /// Its digest, once anybody has asked for it.
+    /// Computed on first use.
     pub(super) digest: OnceCell<RequestDigest>,
 }
 
-/// How an attempt goes on with a generation.
+/// State from which an attempt resumes a generation.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ResumeFrom {
-    /// The last event that the caller has.
+    /// The last event that the caller received.
     pub(super) last_event_id: Option<u64>,
-    /// Where the generation's memory lies.
+    /// The copy of the KV cache to resume from.
     pub(super) kv_copy: Option<KvCopy>,
-    /// The name of the place that the engine keeps.
+    /// The engine's id of the reservation.
     pub(super) reservation: Option<String>,
 }
 
 impl Job {
-    /// Time until the final answer is due.
+    /// Time until the deadline.
     pub(super) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The caller's own bound on an attempt: what is left of the time that it waits.
+    /// What is left of the caller's timeout, capped by the route's.
     fn caller_time_left(&self) -> Duration {
         let limit = self.caller.time_left.unwrap_or(self.route.spec.timeout);
         limit.min(self.route.spec.timeout).saturating_sub(self.received_at.elapsed())
     }
 
-    /// Urgency for an engine, 0 first.
+    /// Priority for engines; 0 is the most urgent.
     pub(super) fn priority(&self) -> u64 {
         self.rank.saturating_sub(1).min(LOWEST_ENGINE_PRIORITY)
     }
 
-    /// The name by which every daemon knows the request again, whichever try it is.
+    /// The digest that identifies the request on all daemons, across retries.
     pub(super) fn digest(&self, relay: &Relay) -> RequestDigest {
         *self.digest.get_or_init(|| relay.node.digest(&self.identity()))
     }
 
-    /// What it has in common with other tries of the same request.
+    /// The parts of a request that are equal in all its retries.
     fn identity(&self) -> RequestIdentity<'_> {
         RequestIdentity {
             method: self.head.method.as_str(),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The request to an endpoint.
+    /// Builds the request for an endpoint.
     pub(super) fn request(
         &self,
         protocol: &dyn Protocol,
@@ -115,14 +115,14 @@
         req
     }
 
-    /// What the scheduler needs to know.
+    /// Builds the placement request for the scheduler.
     pub(super) fn place_request(&self, avoid: Vec<Arc<str>>, isolated: bool) -> placement::Request {
         let prompt = self.caller.prompt.clone().unwrap_or_default();
         let unlimited = u64::MAX / 2;
         let spec = &self.route.spec;
         let workspace = self.workspace.as_ref();
         let workspace = workspace.and_then(|name| self.config.config.workspaces.get(name));
-        // As long as it can still begin to answer in time.
+        // Queueing is limited so that the target latency can still be met.
         let elapsed = self.received_at.elapsed() + NETWORK_ROUND_TRIP;
         let ttft_target = spec.target_latency.saturating_sub(elapsed);
         let max_wait = ttft_target.saturating_sub(placement::prefill_time(prompt.tokens));
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Writes the line and counts at the request's end.
+    /// Logs and counts the end of the request.
     pub(super) fn log_end(&self, metrics: &Metrics, cause: &str, detail: &str) {
         let took = self.received_at.elapsed();
         let workspace = self.workspace.as_deref().unwrap_or("-");
@@ -160,7 +160,7 @@
     }
 }
 
-/// The rank of a tier by its name; the last where there is none.
+/// The rank of a tier; [`UNKNOWN_TIER_RANK`] if it does not exist.
 pub(super) fn tier_rank(config: &trayswitch_core::config::Config, tier: Option<&str>) -> u64 {
     tier.and_then(|tier| config.tiers.get(tier)).map_or(UNKNOWN_TIER_RANK, |tier| tier.rank)
 }
--- a/crates/server/src/relay/load_balancer.rs
+++ b/crates/server/src/relay/load_balancer.rs
@@ -1,4 +1,5 @@
-//! What this entry knows of plain endpoints from its own requests, and the choice by it.
+//! Load balancing of calls by this daemon's own observations: requests in flight, failure rate,
+//! outlier ejection and cold start.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, sync::Arc, time::Duration};
 
@@ -11,33 +12,33 @@
     units,
 };
 
-/// An endpoint that failed is left alone for this long, doubled after each failure in a row.
+/// Ejection time after the first connection failure; doubles with each consecutive one.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(300);
-/// Longest of these pauses: shorter than the outages that the users play.
 const MAX_EJECTION_TIME: Duration = Duration::from_millis(2_400);
-/// Weight of the newest request in the part that failed.
+/// Weight of the newest request in the moving failure rate.
 const FAILURE_RATE_SMOOTHING: f64 = 0.15;
-/// How many running requests an endpoint that always fails counts for.
+/// Cost of an endpoint that always fails, in requests in flight.
 const FAILURE_COST: f64 = 12.0;
-/// Failures below this part are taken for the requests' own.
+/// Failure rate up to which failures are attributed to the requests.
 const TOLERATED_FAILURE_RATE: f64 = 0.3;
-/// A running request in another data hall counts for this much less than one nearby.
+/// Extra cost of an endpoint in another data hall, in requests in flight.
 const REMOTE_HALL_COST: f64 = 0.4;
 
 #[derive(Debug, Clone, Default)]
 struct EndpointStats {
-    /// When the run was started that the rest is known of.
+    /// Start time of the endpoint run that the statistics are about.
     born: u64,
     in_flight: u32,
     failure_rate: f64,
     consecutive_failures: u32,
     ejected_until: Option<Instant>,
-    /// When it may be tried again after it has not answered: it may have started anew.
+    /// When the last ejection ends. The endpoint may have restarted, so it counts as cold from then
+    /// on.
     retry_at: Option<Instant>,
     pacer: Option<ColdPacer>,
 }
 
-/// What cold endpoints of a service bear, and with how many daemons this one shares it.
+/// Cold-start rate limit of a service and this daemon's share of it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ColdStartPolicy {
     pub(super) limits: ColdStart,
@@ -52,7 +53,8 @@
 }
 
 impl EndpointStats {
-    /// Forgets what was known of a former run; what runs there ends by itself.
+    /// Resets the statistics of a previous run, except the requests in flight, which end on their
+    /// own.
     fn reset_if_restarted(&mut self, endpoint: &Registered) {
         if self.born != endpoint.born {
             *self = EndpointStats {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Whether a cold endpoint may be sent a request of this daemon now.
+    /// Whether an endpoint may be sent a request now; paces requests to a cold one.
     fn may_send(&mut self, endpoint: &Registered, policy: &ColdStartPolicy) -> bool {
         let now = policy.now;
         let Some(until) = self.cold_until(endpoint, policy).filter(|until| now < *until) else {
@@ -77,7 +79,8 @@
         self.pacer.is_none_or(|pacer| pacer.may_send(now))
     }
 
-    /// Until when it is cold: by its own word, or since it may have started anew when it failed.
+    /// Until when the endpoint is cold: as it reported, or for the service's cold-start duration
+    /// after an ejection.
     fn cold_until(
         &self,
         endpoint: &Registered,
@@ -90,25 +93,24 @@
     }
 }
 
-/// How a request at an endpoint ended, as far as it tells of the endpoint.
+/// The outcome of a request, as a signal of the endpoint's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// It answered.
     Success,
-    /// It answered with a failure of its own.
+    /// The endpoint returned an error.
     Error,
-    /// It could not be reached, or did not answer.
+    /// Connecting failed, or the response did not arrive.
     Unreachable,
 }
 
-/// Loads of endpoints by name.
+/// Statistics by endpoint id, shared with the in-flight guards.
 #[derive(Debug, Default, Clone)]
 pub(super) struct LoadBalancer {
     stats_by_id: Rc<RefCell<HashMap<Arc<str>, EndpointStats>>>,
     disabled: Disabled,
 }
 
-/// Counts a request as running while it lives.
+/// Counts a request as in flight until dropped.
 pub(super) struct InFlightGuard {
     load_balancer: LoadBalancer,
     id: Arc<str>,
@@ -123,12 +125,12 @@
 }
 
 impl LoadBalancer {
-    /// No loads yet; a choice does without these mechanisms.
+    /// Creates a load balancer without the disabled mechanisms.
     pub(super) fn new(disabled: Disabled) -> LoadBalancer {
         LoadBalancer { stats_by_id: Rc::default(), disabled }
     }
 
-    /// Those that may be sent a request now, as far as cold ones bear it.
+    /// Drops cold endpoints that may not be sent a request now.
     pub(super) fn retain_sendable(
         &self,
         mut endpoints: Vec<Registered>,
@@ -143,7 +145,7 @@
         endpoints
     }
 
-    /// The least loaded endpoint, other than those in `avoid` if there is another.
+    /// The endpoint with the lowest cost; those in `avoid` only if there is no other.
     pub(super) fn select(
         &self,
         endpoints: &[Registered],
@@ -155,7 +157,7 @@
         Some(best.clone())
     }
 
-    /// The same endpoints, the least loaded one first.
+    /// Sorts endpoints, cheapest first.
     pub(super) fn sort_by_cost(&self, endpoints: &mut Vec<Registered>, hall: &str) {
         let costs = endpoints.drain(..).map(|endpoint| (self.cost(&endpoint, &[], hall), endpoint));
         let mut costs: Vec<(f64, Registered)> = costs.collect();
@@ -163,7 +165,7 @@
         endpoints.extend(costs.into_iter().map(|(_, endpoint)| endpoint));
     }
 
-    /// What it costs to send another request to an endpoint, in requests that run there.
+    /// Cost of sending another request to an endpoint, in requests in flight.
     fn cost(&self, endpoint: &Registered, avoid: &[Arc<str>], hall: &str) -> f64 {
         let stats = self.stats_by_id.borrow().get(&endpoint.id).cloned().unwrap_or_default();
         let ejected = self.disabled.allows(Mechanism::FailurePauses)
@@ -183,7 +185,7 @@
             + 0.1 * fastrand::f64()
     }
 
-    /// Counts a request as running at an endpoint.
+    /// Counts a request as in flight on an endpoint.
     pub(super) fn start_request(
         &self,
         id: &Arc<str>,
@@ -198,12 +200,12 @@
         InFlightGuard { load_balancer: self.clone(), id: id.clone() }
     }
 
-    /// Requests of this entry that run at an endpoint.
+    /// This daemon's requests in flight on an endpoint.
     pub(super) fn in_flight(&self, id: &str) -> u32 {
         self.stats_by_id.borrow().get(id).map_or(0, |stats| stats.in_flight)
     }
 
-    /// Records how a request ended.
+    /// Updates the failure rate and the ejection of an endpoint.
     pub(super) fn record_outcome(&self, id: &Arc<str>, outcome: Outcome) {
         let mut stats_by_id = self.stats_by_id.borrow_mut();
         let stats = stats_mut(&mut stats_by_id, id);
@@ -226,12 +228,12 @@
     }
 }
 
-/// The load of an endpoint, which is empty if nothing is known of it.
+/// The statistics of an endpoint, created if missing.
 fn stats_mut<'a>(
     stats_by_id: &'a mut HashMap<Arc<str>, EndpointStats>,
     id: &Arc<str>,
 ) -> &'a mut EndpointStats {
-    /// Endpoints that are remembered; those that run nothing go first.
+    /// Idle endpoints are evicted at this number.
     const MAX_TRACKED_ENDPOINTS: usize = 4_096;
     if MAX_TRACKED_ENDPOINTS <= stats_by_id.len() {
         stats_by_id.retain(|_, stats| 0 < stats.in_flight);
--- a/crates/server/src/relay/local_placement.rs
+++ b/crates/server/src/relay/local_placement.rs
@@ -1,8 +1,8 @@
-//! Places that a daemon has found by itself while no scheduler answers.
+//! Confirms placements that a daemon chose without a scheduler.
 //!
-//! The node has drawn two engines at random. Both are asked for their loads, and the better one, if its
-//! memory may be short, for a place that it keeps until the generation comes; so what hundreds of daemons
-//! send at the same time fills no engine, and nothing waits at one that has no room.
+//! The node samples two engines. Both are asked for their load; the better one, if it is short of
+//! KV cache, must also grant a reservation. This prevents many daemons from overloading the same
+//! engine at once.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,27 +20,26 @@
 use super::{Job, Relay, ReservationReply};
 use crate::{runtime::Placed, telemetry::EventId, upstream::exchange};
 
-/// Largest answer to a question for load or a place.
 const MAX_REPLY_BYTES: usize = 256 * 1024;
-/// How long an engine keeps a place: the way there and a retransmission.
+/// How long an engine holds a reservation: covers the request's way there and one retransmission.
 const RESERVATION_TTL: Duration = Duration::from_millis(500);
-/// Tokens of the answer that a place has room for beside the prompt: the first second of it.
+/// Output tokens reserved beyond the prompt: about the first second of output.
 const INITIAL_OUTPUT_TOKENS: u64 = 128;
 
-/// A place that an engine keeps.
+/// A reservation of KV cache on an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct Reservation {
-    /// Memory, in tokens.
+    /// KV cache size in tokens.
     pub tokens: u64,
-    /// How long it is kept.
+    /// The engine releases the reservation after this time.
     pub ttl: Duration,
 }
 
-/// Neither of the engines that were drawn has room.
+/// None of the sampled engines has capacity.
 pub(super) struct NoCapacity;
 
-/// Lets the engines that were drawn confirm a place. Returns the name of the reservation; none where
-/// a scheduler has granted the place, or the engine has much room or keeps no places.
+/// Confirms a placement with the sampled engines. Returns the id of the reservation; `None` if a
+/// scheduler granted the placement or no reservation is required.
 pub(super) async fn confirm_placement(
     relay: &Relay,
     job: &Job,
@@ -88,11 +87,11 @@
         event = EventId::PlacedAlone.number(), id = job.caller.id.as_str(), endpoint = &**endpoint,
         end = reply.name(), running = load.running, waiting = load.waiting,
         unread = load.unread_tokens, memory_used = load.kv_used;
-        "no scheduler answers: an engine drawn at random was asked for a place"
+        "no scheduler available: requested a reservation on a sampled engine"
     );
 }
 
-/// The load of an engine, if it tells, and the run that is known tells it.
+/// The load of an engine; `None` if unavailable or reported by another run of the engine.
 async fn fetch_load(relay: &Relay, endpoint: &Arc<str>) -> Option<EngineLoad> {
     let (head, body) = query_engine(relay, endpoint, relay.protocol.load_request()).await?;
     let load = relay.protocol.decode_load(&head, &body)?;
@@ -113,8 +112,8 @@
     }
 }
 
-/// An engine's whole answer; none if it gives none in the time that a connection may take to come up,
-/// and then it counts as failed.
+/// Sends a request to an engine and reads the complete response within the connect timeout. A
+/// failure counts against the engine's health.
 async fn query_engine(
     relay: &Relay,
     endpoint: &Arc<str>,
@@ -132,9 +131,9 @@
     let error = match timeout(connect_timeout, whole).await {
         Ok(Ok(answer)) => return Some(answer),
         Ok(Err(error)) => error,
-        Err(_) => "no answer in time".to_owned(),
+        Err(_) => "timed out".to_owned(),
     };
-    log::debug!(endpoint = &**endpoint; "an engine tells nothing of its room: {error}");
+    log::debug!(endpoint = &**endpoint; "failed to query an engine: {error}");
     relay.node.input(Input::Health(endpoint.clone(), HealthNews::Failed));
     None
 }
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -1,8 +1,8 @@
-//! Carries a request from its caller to an endpoint and the answer back.
+//! Forwards requests from callers to endpoints and streams the responses back.
 //!
-//! [`Relay`] takes a request, finds its route and workspace, and hands it to one of two ways:
-//! [`call`] for plain calls, [`generation`] for streams of events. What is spoken on either
-//! side is decoded and encoded by a [`Protocol`].
+//! [`Relay`] admits a request, resolves its route and workspace, and dispatches it to [`call`]
+//! (unary requests) or [`generation`] (event streams). A [`Protocol`] decodes and encodes the
+//! messages on both sides.
 
 mod admission;
 mod backoff;
@@ -63,44 +63,44 @@
     telemetry::{EventId, Metrics},
 };
 
-/// Part of the time left that a request may wait before it is sent; the rest is for the answer.
+/// A request may queue for at most its remaining time divided by this; the rest is for the
+/// response.
 const QUEUE_TIME_DIVISOR: u32 = 2;
-/// Endpoints that may reject one request before its caller is told so.
+/// Endpoints that may reject one request before the rejection is returned to its caller.
 const MAX_REJECTIONS: u32 = 3;
 
-/// Bounds that the operators set for all entries.
+/// Operator settings that apply to all requests.
 #[derive(Debug, Clone, Copy)]
 pub struct RelayOptions {
-    /// The configuration must have been confirmed within this time for a request to run.
+    /// Maximum time since the configuration was last confirmed for a request to be served.
     pub max_config_age: Duration,
-    /// Repeats that all entries together may send, as a part of the requests.
+    /// Retries allowed across all daemons, as a fraction of their requests.
     pub retry_ratio: f64,
-    /// Repeats that all entries together may send beside that in a window.
+    /// Retries allowed across all daemons in a window, on top of `retry_ratio`.
     pub retry_slack: f64,
-    /// The window in which requests and repeats are counted.
+    /// Sliding window in which requests and retries are counted.
     pub retry_window: Duration,
-    /// Longest time until a connection to an endpoint is up.
+    /// Timeout for connecting to an endpoint.
     pub connect_timeout: Duration,
-    /// Longest time for one copy of a generation's memory.
+    /// Timeout for one copy of a generation's KV cache.
     pub copy_timeout: Duration,
-    /// A daemon that has just become unable to confirm its configuration, by a start or by
-    /// standing still, can again within this time: requests wait for it as long, and are refused
-    /// at once after that.
+    /// How long requests wait for a configuration after a start or a suspension before they are
+    /// refused at once.
     pub config_recovery_timeout: Duration,
-    /// Mechanisms that are switched off.
+    /// Mechanisms that are disabled.
     pub disabled: Disabled,
 }
 
-/// What a decision was made by.
+/// Configuration state recorded in the log line of an attempt.
 #[derive(Debug, Clone, Copy)]
 struct DecisionContext {
-    /// Version of the configuration in force.
+    /// Version of the active configuration.
     config: u64,
-    /// Time since it was last known to be current.
+    /// Time since the active configuration was last confirmed.
     config_age_ms: u64,
 }
 
-/// Serves callers.
+/// Forwards callers' requests to endpoints.
 pub struct Relay {
     node: NodeHandle,
     protocol: Box<dyn Protocol>,
@@ -108,21 +108,22 @@
     options: RelayOptions,
     load_balancer: LoadBalancer,
     budgets: RefCell<HashMap<String, RetryBudget>>,
-    /// How long calls take, by service.
+    /// Call latency by service.
     latencies: RefCell<HashMap<String, LatencyEstimate>>,
-    /// Until when leave at a service's limited endpoints is not asked for while others are free.
+    /// Until when, by service, no permit is requested at rate-limited endpoints while others are
+    /// free.
     permit_denied_until: RefCell<HashMap<String, Instant>>,
-    /// Since when requests have found no configuration that is known to be current.
+    /// Since when the active configuration has been missing or unconfirmed.
     unconfirmed_since: Cell<Option<Instant>>,
-    /// Endpoints that are watched since an attempt there broke off.
+    /// One permit for each endpoint that is watched after a failed attempt.
     watch_permits: Arc<Semaphore>,
-    /// Calls that were refused shortly one after the other, by service.
+    /// Spreads the retries of callers refused together, by service.
     refusals: RefCell<HashMap<String, RetrySpreader>>,
     metrics: Rc<Metrics>,
 }
 
 impl Relay {
-    /// A relay for the entry of a data hall.
+    /// Creates the relay of a daemon in data hall `hall`.
     pub fn new(
         node: NodeHandle,
         protocol: Box<dyn Protocol>,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Whether a repeat for this service may be sent now; counts it if so.
+    /// Takes a retry from the budget of `service`, if one is left.
     fn try_acquire_retry(&self, service: &str) -> bool {
         let (now, daemons) = (self.node.now(), self.node.view().daemons());
         let mut budgets = self.budgets.borrow_mut();
@@ -154,7 +155,6 @@
         retry_budget.try_acquire(&self.options, daemons, now)
     }
 
-    /// What a decision is made by now, for its log line.
     fn decision_context(&self) -> DecisionContext {
         let view = self.node.view();
         let age = view.confirmed().map(|at| self.node.now().since(at));
@@ -164,30 +164,29 @@
         }
     }
 
-    /// What cold endpoints of a request's service bear, if they bear less than others.
+    /// The cold-start limits of a request's service, if it has any.
     fn cold_start_policy(&self, job: &Job) -> Option<ColdStartPolicy> {
         let service = job.config.config.services.get(&job.service)?;
         let senders = SenderRole::one_of(self.node.view().daemons());
         Some(ColdStartPolicy { limits: service.cold_start?, senders, now: self.node.now() })
     }
 
-    /// Notes how long an answered call took.
+    /// Records the latency of an answered call.
     fn record_latency(&self, service: &str, took: Duration) {
         let mut latencies = self.latencies.borrow_mut();
         latencies.entry(service.to_owned()).or_default().record(took);
     }
 
-    /// The time after which a call to this service takes unusually long, once that is known.
+    /// How long a call may run before it is hedged; `None` while there are too few samples.
     fn hedge_delay(&self, service: &str) -> Option<Duration> {
         self.latencies.borrow().get(service).and_then(LatencyEstimate::hedge_delay)
     }
 
-    /// The time that a call to this service takes; none before any was answered.
+    /// Mean call latency of `service`; zero before the first sample.
     fn mean_latency(&self, service: &str) -> Duration {
         self.latencies.borrow().get(service).map_or(Duration::ZERO, LatencyEstimate::mean)
     }
 
-    /// Whether a mechanism is in use.
     fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.options.disabled.allows(mechanism)
     }
@@ -215,7 +214,7 @@
         }
     }
 
-    /// An endpoint's answer as its caller sees it.
+    /// Builds the caller's response from an endpoint's.
     fn answer(&self, head: &response::Parts, body: Body) -> Response<Body> {
         let mut answer = Response::new(body);
         *answer.status_mut() = head.status;
@@ -223,29 +222,29 @@
         answer
     }
 
-    /// The answer to a request that ends in an error, without an endpoint's answer.
+    /// Refuses a request that was not admitted.
     fn refuse(&self, id: &str, error: &RequestError) -> Response<Body> {
         log::info!(
             event = EventId::CallerRefused.number(), id = id, cause = error.kind.answer().code;
-            "refused before routing: {}", error.message
+            "request refused before routing: {}", error.message
         );
         self.protocol.error_response(id, error).map(edge::full)
     }
 
-    /// Ends a job with an error.
+    /// Ends an admitted request with an error.
     fn fail(&self, job: &Job, error: &RequestError) -> Response<Body> {
         job.log_end(&self.metrics, error.kind.answer().code, &error.message);
         self.protocol.error_response(&job.caller.id, error).map(edge::full)
     }
 }
 
-/// The error when no answer will come, after so many attempts that may have run.
+/// The error when no endpoint responded; the outcome is unknown if any attempt may have run.
 fn no_response_error(starts: u32, problem: &str) -> RequestError {
     let kind = if starts == 0 { ErrorKind::EndpointRefused } else { ErrorKind::OutcomeUnknown };
     RequestError::new(kind, problem)
 }
 
-/// Counts a request as in progress while it lives.
+/// Counts a request as in progress until dropped.
 pub(crate) struct InProgressGuard(Rc<Metrics>);
 
 impl Drop for InProgressGuard {
--- a/crates/server/src/relay/protocol.rs
+++ b/crates/server/src/relay/protocol.rs
@@ -1,4 +1,4 @@
-//! What the relay needs of the words that callers and endpoints speak.
+//! The interface between the relay and the protocols of callers and endpoints.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,20 +9,20 @@
 
 use super::Reservation;
 
-/// What a caller asks for, decoded from its request.
+/// A decoded caller request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CallerRequest {
-    /// The caller's own name for this request; endpoints repeat it.
+    /// Request id set by the caller and echoed by endpoints.
     pub id: String,
-    /// Host that the caller named, in lower case and without a port.
+    /// Requested host, in lower case and without port.
     pub host: String,
     /// The workspace key.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// The caller's timeout.
     pub time_left: Option<Duration>,
     /// The prompt of a generation.
     pub prompt: Option<Prompt>,
-    /// The last event that the caller has of an answer that broke off.
+    /// The last event received, if the caller resumes an interrupted response.
     pub last_event_id: Option<u64>,
 }
 
@@ -31,46 +31,46 @@
 pub struct Prompt {
     /// Tokens of the prompt.
     pub tokens: u64,
-    /// Most tokens that the answer may have.
+    /// Maximum tokens of the output.
     pub max_output_tokens: u64,
-    /// Tokens that the caller expects; right at the median, often far off.
+    /// The caller's estimate of the output length; often inaccurate.
     pub expected_output_tokens: Option<u64>,
-    /// Hash of the part that other prompts share.
+    /// Hash of the prefix shared with other prompts.
     pub shared_prefix_hash: u64,
 }
 
 /// One attempt at an endpoint.
 #[derive(Debug, Clone)]
 pub struct Attempt<'a> {
-    /// Name of the endpoint's run; any other must refuse.
+    /// Id of the endpoint run; other runs must reject the attempt.
     pub endpoint: &'a str,
-    /// Time that the caller still waits.
+    /// What is left of the caller's timeout.
     pub time_left: Duration,
     /// The workspace.
     pub workspace: Option<&'a str>,
-    /// Urgency for an engine, 0 first.
+    /// Priority for engines; 0 is the most urgent.
     pub priority: Option<u64>,
-    /// The last event that the caller has, when a generation goes on.
+    /// The last event that the caller received, if the generation resumes.
     pub last_event_id: Option<u64>,
-    /// Where the memory of a generation lies that goes on.
+    /// The KV cache to resume from.
     pub kv_copy: Option<&'a KvCopy>,
-    /// The name of the place that the engine keeps for it.
+    /// The engine's id of the reservation.
     pub reservation: Option<&'a str>,
 }
 
-/// What an engine answered to a [`Reservation`].
+/// An engine's reply to a [`Reservation`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReservationReply {
-    /// It keeps a place under this name.
+    /// Granted under this id.
     Granted(String),
-    /// It has no room.
+    /// The engine has no capacity.
     Denied,
-    /// It need not keep one, or keeps none for anybody.
+    /// No reservation is needed, or the engine does not support them.
     NotRequired,
 }
 
 impl ReservationReply {
-    /// Its name in log lines.
+    /// The name in log lines.
     pub fn name(&self) -> &'static str {
         match self {
             ReservationReply::Granted(_) => "kept",
@@ -80,73 +80,73 @@
     }
 }
 
-/// A copy of a generation's memory.
+/// A copy of a generation's KV cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KvCopy {
     /// The engine that it was copied from.
     pub source: SocketAddr,
-    /// The copy's name.
+    /// The engine's id of the copy.
     pub handle: String,
 }
 
-/// How an endpoint answered, by the head of its answer.
+/// An endpoint's response, classified by status and headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ResponseClass {
-    /// It says that the request has not run there.
+    /// The request was not executed.
     Rejected(RejectionReason),
-    /// The request ran; this is its answer, whatever its status.
+    /// The request was executed; this is its response.
     Executed {
-        /// Whether it ended well.
+        /// Whether the endpoint reports success.
         success: bool,
     },
-    /// These bytes are not the answer to this request.
+    /// Not a valid response to this request; the text says why.
     Invalid(&'static str),
 }
 
 /// Why an endpoint rejected a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// It has no room, or the time is over.
+    /// No capacity, or the deadline has passed.
     Overloaded,
-    /// Another run of an endpoint, or another version, has its address.
+    /// The address belongs to another endpoint run.
     WrongEndpoint,
 }
 
-/// An order to copy the memory of a running generation.
+/// Orders an engine to copy the KV cache of a running generation.
 #[derive(Debug, Clone)]
 pub struct CopyCommand<'a> {
-    /// The caller's name for the request.
+    /// The request id.
     pub id: &'a str,
     /// The engine that receives the copy.
     pub to: SocketAddr,
-    /// Whether the generation stops first, so that the copy is final.
+    /// Whether the generation stops first, which makes the copy final.
     pub is_final: bool,
 }
 
-/// What an engine answered to a [`CopyCommand`].
+/// An engine's reply to a [`CopyCommand`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CopyReply {
     /// The copy is complete.
     Done {
-        /// Its name.
+        /// The engine's id of the copy.
         handle: String,
         /// Events produced so far.
         events: u64,
     },
-    /// The generation does not run there (any more).
+    /// The generation is not running on the engine.
     NotRunning,
-    /// Another copy of it is on its way.
+    /// Another copy of the generation is in progress.
     Busy,
-    /// There is no room or no path; a generation that stopped keeps its memory under the name.
+    /// No memory or no path to the target. A stopped generation keeps its KV cache under `handle`.
     Refused {
-        /// Its name.
+        /// The engine's id of the kept KV cache.
         handle: Option<String>,
     },
-    /// The answer makes no sense.
+    /// The reply cannot be decoded.
     Malformed,
 }
 
-/// Decodes and encodes what callers and endpoints speak.
+/// Decodes and encodes the messages of callers and endpoints.
 pub trait Protocol {
     /// Decodes a caller's request.
     fn decode_request(&self, head: &request::Parts) -> Result<CallerRequest, RequestError>;
@@ -154,36 +154,36 @@
     /// Headers of the request to an endpoint.
     fn attempt_headers(&self, head: &request::Parts, attempt: &Attempt<'_>) -> HeaderMap;
 
-    /// Judges an endpoint's answer to the request of this id.
+    /// Classifies an endpoint's response to the request `id`.
     fn classify_response(&self, id: &str, head: &response::Parts) -> ResponseClass;
 
-    /// What the endpoint says of itself in its answer.
+    /// Decodes the signals in an endpoint's response.
     fn signals(&self, head: &response::Parts) -> Signals;
 
-    /// Headers of an endpoint's answer that are passed on to the caller.
+    /// Headers of an endpoint's response that are forwarded to the caller.
     fn response_headers(&self, head: &response::Parts) -> HeaderMap;
 
-    /// The answer to a request that ends in an error.
+    /// The response to a request that failed with `error`.
     fn error_response(&self, id: &str, error: &RequestError) -> Response<Bytes>;
 
-    /// Asks an engine to copy a generation's memory.
+    /// The request that copies a generation's KV cache.
     fn copy_request(&self, order: &CopyCommand<'_>) -> Request<Full<Bytes>>;
 
-    /// Asks an engine to free a copy that it has made, there and where it lies.
+    /// The request that frees a copy on the source and the target engine.
     fn free_request(&self, handle: &str) -> Request<Full<Bytes>>;
 
-    /// Asks an engine for its load.
+    /// The request for an engine's load.
     fn load_request(&self) -> Request<Full<Bytes>>;
 
-    /// Reads the answer to [`Protocol::load_request`].
+    /// Decodes the response to [`Protocol::load_request`].
     fn decode_load(&self, head: &response::Parts, body: &[u8]) -> Option<EngineLoad>;
 
-    /// Asks an engine to keep a place.
+    /// The request for a reservation on an engine.
     fn reservation_request(&self, reservation: &Reservation) -> Request<Full<Bytes>>;
 
-    /// Reads the answer to [`Protocol::reservation_request`].
+    /// Decodes the response to [`Protocol::reservation_request`].
     fn decode_reservation(&self, head: &response::Parts, body: &[u8]) -> ReservationReply;
 
-    /// Reads the answer to [`Protocol::copy_request`].
+    /// Decodes the response to [`Protocol::copy_request`].
     fn decode_copy_reply(&self, head: &response::Parts, body: &[u8]) -> CopyReply;
 }
--- a/crates/server/src/relay/quarantine_turn.rs
+++ b/crates/server/src/relay/quarantine_turn.rs
@@ -1,5 +1,5 @@
-//! Whether an attempt may be sent: of requests under which endpoints have ended one try runs at a
-//! time, and in the end none.
+//! Turns of suspect requests, on whose endpoints crashes were seen: their attempts run one at a
+//! time as trials until the request is cleared or quarantined.
 
 use trayswitch_core::{
     error::RequestError,
@@ -13,26 +13,26 @@
     telemetry::EventId,
 };
 
-/// Lets one attempt go ahead.
+/// Permission to send one attempt.
 pub(super) struct QuarantineTurn {
-    /// The trial that it is, if endpoints have ended under the request.
+    /// The trial to run as, if the request is suspect.
     pub(super) trial: Option<Trial>,
-    /// How the request stood when it was given.
+    /// The request's standing when the turn was granted.
     standing: Standing,
 }
 
 impl QuarantineTurn {
-    /// Whether the attempt runs apart from other requests.
+    /// Whether the attempt runs on an endpoint without other requests.
     pub(super) fn is_isolated(&self) -> bool {
         self.trial.as_ref().is_some_and(Trial::is_apart)
     }
 
-    /// For a request that is no suspect, and for one whose turn is over.
+    /// The turn of a request that is not suspect, or whose previous turn is over.
     pub(super) fn none() -> QuarantineTurn {
         QuarantineTurn { trial: None, standing: Standing::default() }
     }
 
-    /// Notes that the answer has begun well.
+    /// Marks the trial as having begun to respond.
     pub(super) fn mark_begun(&mut self) {
         if let Some(trial) = &mut self.trial {
             trial.begin();
@@ -41,7 +41,7 @@
 }
 
 impl Relay {
-    /// Lets an attempt of a request go ahead; one of a suspect waits for its turn.
+    /// Grants a turn to a request; a suspect one waits for the leader's permission.
     pub(super) async fn quarantine_turn(&self, job: &Job) -> Result<QuarantineTurn, RequestError> {
         let standing = self.standing(job);
         if !standing.is_suspect() {
@@ -61,26 +61,27 @@
             Tried::Clear => ("clear", Ok(QuarantineTurn::none())),
             Tried::Quarantined => ("quarantined", Err(quarantined())),
             Tried::NotNow if standing.runs_apart() => ("not_now", Err(no_turn())),
-            // Nearly all that were at one end are innocent; without a leader they go on unwatched.
+            // Most suspects are innocent bystanders of a crash, so they may run unsupervised
+            // without a leader.
             Tried::NotNow => ("unwatched", Ok(QuarantineTurn { trial: None, standing })),
         };
         self.log_trial(job, standing, result);
         turn
     }
 
-    /// Whether a turn is no longer good: endpoints have ended under the request since it was given.
+    /// Whether the request's standing has changed such that the turn is no longer valid.
     pub(super) fn is_turn_stale(&self, job: &Job, turn: &QuarantineTurn) -> bool {
         let now = self.standing(job);
         let is_changed = now.is_suspect() && now != turn.standing;
         now.is_quarantined() || turn.trial.is_none() && is_changed
     }
 
-    /// Whether endpoints have ended under a request.
+    /// Whether endpoints have crashed while they ran the request.
     pub(super) fn is_suspect(&self, job: &Job) -> bool {
         self.standing(job).is_suspect()
     }
 
-    /// Notes that a request has brought its whole answer: it is no suspect any more.
+    /// Clears a suspect request whose response is complete.
     pub(super) fn on_response_complete(&self, job: &Job, turn: &mut QuarantineTurn) {
         match &mut turn.trial {
             Some(trial) => trial.finish(),
@@ -101,7 +102,7 @@
             event = EventId::TrialAsked.number(), id = job.caller.id.as_str(),
             request = job.digest(self).to_string().as_str(), end = answer,
             ended = standing.ended, in_trials = standing.in_trials;
-            "endpoints have ended under a request that was tried again"
+            "a turn was requested for a suspect request"
         );
     }
 }
--- a/crates/server/src/relay/rate_limit.rs
+++ b/crates/server/src/relay/rate_limit.rs
@@ -1,4 +1,5 @@
-//! Endpoints that name in their answers how many requests a second they take, and what calls do about it.
+//! Rate limits that endpoints report in their responses, and the permits that calls request for
+//! them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,26 +16,25 @@
 use super::{Job, QUEUE_TIME_DIVISOR, Relay, call::no_endpoint_error};
 use crate::telemetry::EventId;
 
-/// Endpoints that one request for a permit names: as many as a question holds in one packet.
+/// Endpoints in one permit request: as many as fit into one packet.
 const MAX_CANDIDATES: usize = 16;
 
-/// Which attempt at a call is to be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptKind {
-    /// The first one: it may wait, and go wherever it can.
+    /// May wait, and may go to any endpoint.
     First,
-    /// A later one: only at once, and to an endpoint that was not tried.
+    /// Never waits, and goes to an endpoint that was not tried.
     Retry,
 }
 
 impl Relay {
-    /// Takes how much an endpoint takes, by an answer to a request that was sent at `asked`. What cannot be
-    /// read changes nothing.
+    /// Reports the rate limit in the response to a request sent at `sent_at`. An invalid one is
+    /// logged and ignored.
     pub(super) fn report_rate_limit(
         &self,
         service: &str,
         endpoint: &Registered,
-        asked: units::Instant,
+        sent_at: units::Instant,
         signals: &Signals,
     ) {
         let limit = match signals.limit {
@@ -44,7 +44,7 @@
                 log::warn!(
                     event = EventId::LimitChanged.number(), endpoint = &*endpoint.id,
                     end = "unreadable", detail = problem.to_string().as_str();
-                    "an endpoint names a limit that cannot be read"
+                    "an endpoint reported an invalid rate limit"
                 );
                 return;
             }
@@ -57,21 +57,23 @@
                 endpoint: endpoint.id.clone(),
                 born: endpoint.born,
                 limit,
-                asked,
+                asked: sent_at,
                 read: self.node.now(),
             };
             self.node.input(Input::RateLimitReported(word));
         }
     }
 
-    /// The endpoints that a call may be sent to now, but for what they say of how much they take.
+    /// Open endpoints of the request's service that are not held back by cold-start pacing; rate
+    /// limits are not considered.
     pub(super) fn open_endpoints(&self, job: &Job) -> Vec<Registered> {
         let endpoints = self.node.view().open_endpoints(&job.service);
         self.load_balancer.retain_sendable(endpoints, self.cold_start_policy(job).as_ref())
     }
 
-    /// The endpoint for an attempt at a call. The best one is asked for a permit if it names a limit; without a permit
-    /// one that names none is next, and a first attempt waits only if there is none of these.
+    /// Selects the endpoint for an attempt. If the cheapest one is rate limited, requests a permit;
+    /// without a permit the cheapest unlimited endpoint is next. A first attempt waits for a permit
+    /// only if all endpoints are rate limited.
     pub(super) async fn select_endpoint(
         &self,
         job: &Job,
@@ -107,7 +109,7 @@
         chosen
     }
 
-    /// Asks for a permit at one of these endpoints.
+    /// Requests a permit at one of the `limited` endpoints.
     async fn request_permit(
         &self,
         job: &Job,
@@ -129,14 +131,14 @@
         permit
     }
 
-    /// The endpoint that a permit was given for, if it may still be sent anything.
+    /// The endpoint that a permit was granted for, if it is still open.
     fn granted_endpoint(&self, job: &Job, endpoint: &str) -> Result<Registered, RequestError> {
         let mut open = self.open_endpoints(job).into_iter();
         let still_open = open.find(|open| *open.id == *endpoint);
         still_open.ok_or_else(|| no_endpoint_error(self, &job.service))
     }
 
-    /// How long a call may wait before it is sent, so that its answer still comes in time.
+    /// How long a call may queue and still meet its target latency.
     pub(super) fn max_queue_time(&self, job: &Job) -> Duration {
         let taken = job.received_at.elapsed() + self.mean_latency(&job.service);
         let in_time = job.route.spec.target_latency.saturating_sub(taken);
@@ -154,7 +156,7 @@
     }
 }
 
-/// The answer to a call that no endpoint takes in time.
+/// The error for a call that no endpoint accepts in time.
 fn rate_limited_error(service: &str, retry_after: Duration) -> RequestError {
     let millis = retry_after.as_millis();
     let message = format!("all endpoints of {service} are rate limited; retry after {millis} ms");
--- a/crates/server/src/relay/relocation.rs
+++ b/crates/server/src/relay/relocation.rs
@@ -1,8 +1,8 @@
-//! Moves the memory of a running generation to another engine.
+//! Relocates a running generation by copying its KV cache to another engine.
 //!
-//! First a copy is made while the generation runs on; only when it has arrived, the generation
-//! is stopped and what is new is copied as well. So the pause is short, and the generation
-//! never leaves its engine before its copy is known to be good.
+//! The first copy is made while the generation runs. Only after that succeeds is the generation
+//! stopped and the rest copied, which keeps the pause short and leaves the generation running if
+//! the first copy fails.
 
 use std::{cell::Cell, rc::Rc, sync::Arc, time::Instant};
 
@@ -15,22 +15,19 @@
     upstream::{SendError, exchange},
 };
 
-/// Largest answer to an order.
 const MAX_REPLY_BYTES: usize = 64 * 1024;
 
-/// How a move ended.
 #[derive(Debug)]
 pub(super) enum RelocationResult {
-    /// The generation has stopped and its memory lies ready.
+    /// The generation has stopped and can resume from a copy.
     Stopped {
-        /// Where.
         kv_copy: KvCopy,
-        /// The endpoint that has the copy.
+        /// The endpoint to resume on.
         to: Arc<str>,
     },
-    /// The generation ended by itself.
+    /// The generation has ended.
     NotRunning,
-    /// It runs on where it was.
+    /// The copy failed.
     Failed(String),
 }
 
@@ -51,17 +48,17 @@
     }
 }
 
-/// How far a move has come, and whether it is still wanted.
+/// State shared between a relocation and its owner.
 #[derive(Default)]
 struct Progress {
     stopping: Cell<bool>,
     cancelled: Cell<bool>,
 }
 
-/// A move on its way.
+/// A relocation in progress.
 pub(super) struct Relocation {
     pub(super) started_at: Instant,
-    /// Where it is to go on.
+    /// The target endpoint.
     pub(super) to: Arc<str>,
     relay: Rc<Relay>,
     progress: Rc<Progress>,
@@ -81,13 +78,13 @@
         Relocation { started_at: Instant::now(), to: destination, relay, progress, future }
     }
 
-    /// Whether the generation was told to stop.
+    /// Whether the generation may have been stopped by the final copy.
     pub(super) fn is_stopping(&self) -> bool {
         self.progress.stopping.get()
     }
 
-    /// Ends a move whose generation nobody wants any more. What was copied holds memory at both
-    /// engines, for seconds, until it is freed.
+    /// Cancels the relocation because the generation is no longer needed; frees a finished copy in
+    /// the background.
     pub(super) fn cancel(self) {
         self.progress.cancelled.set(true);
         tokio::task::spawn_local(async move {
@@ -116,7 +113,7 @@
         Ok(CopyReply::NotRunning) => return RelocationResult::NotRunning,
         Ok(CopyReply::Busy) => return RelocationResult::Failed("another copy is active".into()),
         Ok(CopyReply::Refused { .. }) => return RelocationResult::Failed("no memory".into()),
-        Ok(CopyReply::Malformed) => return RelocationResult::Failed("malformed answer".into()),
+        Ok(CopyReply::Malformed) => return RelocationResult::Failed("malformed reply".into()),
         Err(error) => return RelocationResult::Failed(error),
     };
     if progress.cancelled.get() {
@@ -128,26 +125,26 @@
         Ok(CopyReply::Done { handle, .. }) => {
             RelocationResult::Stopped { kv_copy: KvCopy { source, handle }, to: to.id }
         }
-        // It has stopped, and its memory is still where it was.
+        // The generation has stopped, but its KV cache is still on the source.
         Ok(CopyReply::Refused { handle: Some(handle) }) => {
             RelocationResult::Stopped { kv_copy: KvCopy { source, handle }, to: from.id }
         }
         Ok(CopyReply::NotRunning) => RelocationResult::NotRunning,
         Ok(CopyReply::Busy) => RelocationResult::Failed("another copy is active".into()),
         Ok(CopyReply::Refused { handle: None }) => RelocationResult::Failed("no memory".into()),
-        Ok(CopyReply::Malformed) => RelocationResult::Failed("malformed answer".into()),
+        Ok(CopyReply::Malformed) => RelocationResult::Failed("malformed reply".into()),
         Err(error) => RelocationResult::Failed(error),
     }
 }
 
-/// Frees a copy at both engines. One that cannot be freed expires after some seconds.
+/// Frees a copy on both engines. If that fails, the copy expires on its own.
 pub(super) async fn free_copy(relay: &Relay, kv_copy: &KvCopy) {
     let req = relay.protocol.free_request(&kv_copy.handle);
     let freed = exchange(kv_copy.source, req, relay.options.connect_timeout);
     match timeout(relay.options.copy_timeout, freed).await {
         Ok(Ok(_)) => {}
-        Ok(Err(e)) => log::debug!("a copy was not freed: {e}"),
-        Err(_) => log::debug!("a copy was not freed: no answer in time"),
+        Ok(Err(e)) => log::debug!("failed to free a KV cache copy: {e}"),
+        Err(_) => log::debug!("failed to free a KV cache copy: timed out"),
     }
 }
 
@@ -158,16 +155,14 @@
     command: &CopyCommand<'_>,
 ) -> Result<CopyReply, String> {
     let ask = async {
-        let asked = relay.node.now();
+        let sent_at = relay.node.now();
         let req = relay.protocol.copy_request(command);
         let open = exchange(from.address, req, relay.options.connect_timeout).await;
         let open = open.map_err(|e: SendError| e.to_string())?;
         let head = open.head;
-        relay.on_control_response(service, from, asked, &head);
+        relay.on_control_response(service, from, sent_at, &head);
         let body = open.body.collect(MAX_REPLY_BYTES).await?;
         Ok(relay.protocol.decode_copy_reply(&head, &body))
     };
-    timeout(relay.options.copy_timeout, ask)
-        .await
-        .map_err(|_| "the copy took too long".to_owned())?
+    timeout(relay.options.copy_timeout, ask).await.map_err(|_| "the copy timed out".to_owned())?
 }
--- a/crates/server/src/relay/retry_budget.rs
+++ b/crates/server/src/relay/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Repeats that this entry may send, as its share of what all entries may.
+//! The retry budget: this daemon's share of the retries that all daemons may send.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -6,13 +6,13 @@
 
 use super::RelayOptions;
 
-/// Part of the operators' bound that is used: entries count in windows that begin at other
-/// moments, and one that starts anew has forgotten what it sent.
+/// Fraction of the budget that is used. Leaves room for unaligned windows and for daemons that
+/// forget their retries in a restart.
 const USED_FRACTION: f64 = 0.75;
-/// Daemons that are assumed to share the bound while their number is not known.
+/// Number of daemons sharing the budget while it is unknown.
 const ASSUMED_DAEMON_COUNT: u64 = 16;
 
-/// Requests and repeats of one service in the last window.
+/// Requests and retries of one service within the window.
 #[derive(Debug, Default)]
 pub(super) struct RetryBudget {
     requests: VecDeque<Instant>,
@@ -20,13 +20,13 @@
 }
 
 impl RetryBudget {
-    /// Counts a caller's request.
+    /// Records a caller's request.
     pub(super) fn record_request(&mut self, options: &RelayOptions, now: Instant) {
         evict_expired(&mut self.requests, options.retry_window, now);
         self.requests.push_back(now);
     }
 
-    /// Counts a repeat if there may be one more.
+    /// Takes a retry from the budget, if one is left.
     pub(super) fn try_acquire(
         &mut self,
         options: &RelayOptions,
--- a/crates/server/src/relay/signals.rs
+++ b/crates/server/src/relay/signals.rs
@@ -1,6 +1,7 @@
-//! Takes what endpoints say of themselves in the heads of their answers.
+//! Processes the signals that endpoints send in response headers: rate limit, back-off, leaving and
+//! cold start.
 //!
-//! Every answer comes by here, whatever was asked, so that no signal is passed on to a caller unheard.
+//! Every response passes through here, including those to the daemon's own requests.
 
 use std::fmt;
 
@@ -13,32 +14,33 @@
 use crate::telemetry::EventId;
 
 impl Relay {
-    /// Takes what an endpoint says of itself in an answer to a caller's request that was sent at `asked`.
+    /// Processes the signals in the response to a caller's request that was sent at `sent_at`.
     pub(super) fn on_response(
         &self,
         service: &str,
         endpoint: &Registered,
-        asked: units::Instant,
+        sent_at: units::Instant,
         head: &response::Parts,
     ) -> Signals {
         let signals = self.read_signals(service, endpoint, head);
-        self.report_rate_limit(service, endpoint, asked, &signals);
+        self.report_rate_limit(service, endpoint, sent_at, &signals);
         self.report_state(endpoint, &signals);
         signals
     }
 
-    /// The same of an answer to a question of this daemon's own, or of one that is not the request's. An endpoint may
-    /// name its limit to requests only, so one that is not named here still holds.
+    /// Processes the signals in a response to the daemon's own request, or in one that does not
+    /// belong to the request. Endpoints may report rate limits only to callers' requests, so a
+    /// missing limit does not clear the known one.
     pub(super) fn on_control_response(
         &self,
         service: &str,
         endpoint: &Registered,
-        asked: units::Instant,
+        sent_at: units::Instant,
         head: &response::Parts,
     ) {
         let signals = self.read_signals(service, endpoint, head);
         if signals.limit != Ok(None) {
-            self.report_rate_limit(service, endpoint, asked, &signals);
+            self.report_rate_limit(service, endpoint, sent_at, &signals);
         }
         self.report_state(endpoint, &signals);
     }
@@ -56,15 +58,15 @@
         }
     }
 
-    /// The same of an answer that rejects the request.
+    /// Processes the signals in a response that rejects the request.
     pub(super) fn on_rejection(
         &self,
         service: &str,
         endpoint: &Registered,
-        asked: units::Instant,
+        sent_at: units::Instant,
         head: &response::Parts,
     ) -> Signals {
-        let signals = self.on_response(service, endpoint, asked, head);
+        let signals = self.on_response(service, endpoint, sent_at, head);
         if signals.backoff().is_none() {
             self.report_rejection(endpoint, &signals);
         }
@@ -87,8 +89,7 @@
         }));
     }
 
-    /// Reads what an endpoint says of itself in an answer. A signal that cannot be read is logged and changes
-    /// nothing.
+    /// Decodes the signals of a response. An invalid signal is logged and ignored.
     fn read_signals(
         &self,
         service: &str,
@@ -104,7 +105,7 @@
                 log::warn!(
                     event = EventId::SignalUnreadable.number(), endpoint = &*endpoint.id,
                     signal = name, detail = problem.to_string().as_str();
-                    "an endpoint's signal cannot be read"
+                    "an endpoint sent an invalid signal"
                 );
             }
         };
@@ -115,7 +116,6 @@
     }
 }
 
-/// Whether a signal is given.
 fn given<T, E: fmt::Display>(signal: &Result<Option<T>, E>) -> Result<bool, &dyn fmt::Display> {
     signal.as_ref().map(Option::is_some).map_err(|e| e as &dyn fmt::Display)
 }
--- a/crates/server/src/relay/stream/mod.rs
+++ b/crates/server/src/relay/stream/mod.rs
@@ -1,4 +1,4 @@
-//! Carries the events of a running generation to its caller, across endpoints.
+//! Forwards the events of a running generation to its caller, across restarts and relocations.
 
 mod relocation;
 
@@ -26,11 +26,11 @@
     upstream::Event,
 };
 
-/// The node is told of progress after this many events: it forecasts memory by it.
+/// Progress is reported to the node, which forecasts KV cache usage, after this many events.
 const PROGRESS_INTERVAL_EVENTS: u64 = 8;
-/// Tokens that an event holds where the engine does not say, by the users' sheets.
+/// Estimate for engines that do not report token counts.
 const TOKENS_PER_EVENT: u64 = 4;
-/// How a generation ended.
+/// Why a stream ended.
 enum EndReason {
     Completed,
     CallerDisconnected,
@@ -38,7 +38,7 @@
     DeadlineExceeded,
 }
 
-/// Carries one generation.
+/// Forwards the stream of one generation.
 pub(super) struct StreamForwarder {
     relay: Rc<Relay>,
     job: Rc<Job>,
@@ -47,22 +47,22 @@
     event_stream: EventStream,
     tx: mpsc::Sender<Result<Bytes, AnswerError>>,
     orders: mpsc::UnboundedReceiver<MoveOrder>,
-    /// A move on its way.
+    /// The relocation in progress.
     relocation: Option<Relocation>,
-    /// What a move has copied, until the generation goes on with it.
+    /// A copy that the generation has not resumed from yet.
     unclaimed_copy: Option<KvCopy>,
-    /// The last event that the caller has.
+    /// The last event sent to the caller.
     last_event_id: Option<u64>,
-    /// Events passed on so far.
+    /// Events forwarded so far.
     events: u64,
-    /// Events that were passed on before it last began at an endpoint.
+    /// Events forwarded before the last restart.
     events_before_restart: u64,
-    /// How many times the generation was started.
+    /// Attempts so far, including the first.
     attempts: u32,
 }
 
 impl StreamForwarder {
-    /// A generation that was placed and has begun to answer.
+    /// Creates a forwarder for a generation that has begun to respond.
     pub(super) fn new(
         relay: Rc<Relay>,
         job: Job,
@@ -90,14 +90,14 @@
         }
     }
 
-    /// Carries the generation to its end.
+    /// Forwards the stream until it ends.
     pub(super) async fn run(mut self, first: Option<Event>) {
         let route = self.job.route.name.clone();
         self.relay.metrics.first_event(&route, self.job.received_at.elapsed());
         let caller = self.tx.clone();
         let cause = tokio::select! {
             biased;
-            // Wherever the generation is: between events, in a move, on its way elsewhere.
+            // Polled first, so that a disconnect is noticed in any state.
             () = caller.closed() => EndReason::CallerDisconnected,
             cause = self.forward(first) => cause,
         };
@@ -113,15 +113,14 @@
             EndReason::DeadlineExceeded => ("time_over", String::new()),
         };
         if matches!(name, "generation_lost" | "time_over") {
-            // The answer must not look complete. A caller that has left needs no telling.
+            // Aborts the response, so that it does not look complete.
             let _ = self.tx.send(Err(AnswerError(name.to_owned()))).await;
         }
         let detail = format!("{} events {detail}", self.events);
         self.job.log_end(&self.relay.metrics, name, detail.trim());
     }
 
-    /// Frees what was copied of a generation that has ended without it. A move that is on its way
-    /// ends by itself.
+    /// Frees the copies of a generation that ended before resuming from them.
     fn release_copies(&mut self) {
         if let Some(relocation) = self.relocation.take() {
             relocation.cancel();
@@ -132,7 +131,7 @@
         }
     }
 
-    /// Passes events on and follows moves until the generation ends.
+    /// Forwards events and handles relocations until the generation ends.
     async fn forward(&mut self, first: Option<Event>) -> EndReason {
         let Some(first) = first else { return EndReason::Completed };
         if let Err(cause) = self.forward_event(first).await {
@@ -156,7 +155,6 @@
         }
     }
 
-    /// Does what the next step of the stream calls for.
     async fn handle_item(&mut self, step: StreamItem) -> Result<(), EndReason> {
         match step {
             StreamItem::Event(event) => self.forward_event(event).await,
@@ -174,7 +172,7 @@
         }
     }
 
-    /// Finds out whether the endpoint has ended under the generation.
+    /// Reports a failed attempt, if the endpoint is still known.
     async fn on_attempt_failed(&self) {
         if let Some(endpoint) = self.relay.node.view().endpoint(self.placed.endpoint()) {
             let last = self.last_event_id.unwrap_or(0);
@@ -182,7 +180,7 @@
         }
     }
 
-    /// Goes on with the events of another connection.
+    /// Continues with the stream of another connection.
     async fn switch_to(
         &mut self,
         event_stream: EventStream,
@@ -195,16 +193,16 @@
         }
     }
 
-    /// Passes an event on, unless the caller has it.
+    /// Sends an event to the caller; skips duplicates and fails on a gap in the event ids.
     async fn forward_event(&mut self, event: Event) -> Result<(), EndReason> {
         if let Some(id) = event.id {
             if self.last_event_id.is_some_and(|last| id <= last) {
-                log::debug!(event = EventId::FrameDropped.number(); "event {id} came again");
+                log::debug!(event = EventId::FrameDropped.number(); "dropped duplicate event {id}");
                 return Ok(());
             }
             if self.last_event_id.is_some_and(|last| last + 1 < id) {
                 return Err(EndReason::GenerationLost(format!(
-                    "event {id} came after {:?}",
+                    "gap in the stream: event {id} after {:?}",
                     self.last_event_id
                 )));
             }
@@ -223,12 +221,11 @@
         Ok(())
     }
 
-    /// Tokens passed on so far, by reckoning.
     fn estimated_tokens(&self) -> u64 {
         self.events * TOKENS_PER_EVENT
     }
 
-    /// Whether the generation may run again after this problem; counts the repeat if so.
+    /// Takes a retry from the budget, if the route and the admission still allow one.
     fn check_retry(&self, error: &str) -> Result<(), EndReason> {
         let spec = &self.job.route.spec;
         let repeatable = spec.kind.is_repeatable() && self.attempts < spec.max_attempts;
@@ -236,14 +233,12 @@
             return Err(EndReason::GenerationLost(error.to_owned()));
         }
         if !self.relay.try_acquire_retry(&self.job.service) {
-            return Err(EndReason::GenerationLost(format!(
-                "{error}; no more repeats are allowed now"
-            )));
+            return Err(EndReason::GenerationLost(format!("{error}; retry budget exhausted")));
         }
         Ok(())
     }
 
-    /// Finds a place at another endpoint; returns the name of its reservation there, if there is one.
+    /// Acquires a placement on another endpoint; returns the id of the reservation, if any.
     async fn acquire_new_placement(
         &mut self,
         avoid: &[Arc<str>],
@@ -268,12 +263,12 @@
         Ok(reservation)
     }
 
-    /// Runs what may be run again from the last event on, at another endpoint.
+    /// Restarts a repeatable generation on another endpoint after the last event sent.
     async fn restart(&mut self, error: String) -> Result<(), EndReason> {
         self.check_retry(&error)?;
         self.attempts += 1;
         self.events_before_restart = self.events;
-        // The next attempt waits for its turn behind this one.
+        // Releases the current trial, so that the next attempt can get a turn.
         self.turn = QuarantineTurn::none();
         let mut avoid = vec![self.placed.endpoint().clone()];
         let opened = loop {
@@ -295,7 +290,7 @@
         log::info!(
             event = EventId::StreamResumed.number(), id = self.job.caller.id.as_str(),
             after = self.last_event_id.unwrap_or(0), endpoint = &**self.placed.endpoint();
-            "a generation goes on at another endpoint: {error}"
+            "restarted a generation on another endpoint: {error}"
         );
         match opened {
             Ok(Opened::Stream { event_stream, first, .. }) => {
--- a/crates/server/src/relay/stream/relocation.rs
+++ b/crates/server/src/relay/stream/relocation.rs
@@ -1,4 +1,4 @@
-//! Moves of a running generation, as its pump follows them.
+//! Relocations of a running generation.
 
 use std::{future::pending, sync::Arc, time::Duration};
 
@@ -19,16 +19,16 @@
     timer::until,
 };
 
-/// After a generation has stopped, what it made before is on the connection already.
+/// Time to read the events that the stopped generation has already sent.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl StreamForwarder {
-    /// Whether the generation may have been stopped by a move.
+    /// Whether a relocation may have stopped the generation.
     pub(super) fn is_stopping(&self) -> bool {
         self.relocation.as_ref().is_some_and(Relocation::is_stopping)
     }
 
-    /// Begins a move, unless one of its endpoints has gone, or nothing may be sent to the second.
+    /// Starts a relocation, unless an endpoint is gone or the target accepts no new requests.
     pub(super) fn start_relocation(&mut self, order: &MoveOrder) {
         let view = self.relay.node.view();
         let (from, to) = (view.endpoint(&order.from), view.endpoint(&order.to));
@@ -41,7 +41,8 @@
         self.relocation = Some(Relocation::start(self.relay.clone(), self.job.clone(), from, to));
     }
 
-    /// The stream closed while the generation was being stopped: the move says what it means.
+    /// Handles the end of the stream while a relocation may have stopped the generation: waits for
+    /// the relocation's result to tell the cause.
     pub(super) async fn on_stream_closed_during_relocation(
         &mut self,
         ended: bool,
@@ -59,11 +60,10 @@
         if !ended {
             self.on_attempt_failed().await;
         }
-        let error = "the endpoint closed the stream during a move".to_owned();
+        let error = "the endpoint closed the stream during a relocation".to_owned();
         self.restart(error).await
     }
 
-    /// Does what the end of a move calls for.
     pub(super) async fn on_relocation_result(
         &mut self,
         result: RelocationResult,
@@ -80,7 +80,7 @@
                     event = EventId::MoveEnded.number(), id = self.job.caller.id.as_str(),
                     from = &*from, to = &*relocation.to, end = result.name(), detail = result.detail(),
                     took_ms = took.as_millis() as u64;
-                    "a generation was not moved"
+                    "a generation was not relocated"
                 );
                 self.placed.moved(&from, false);
                 self.relay.metrics.moved(result.name());
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Goes on elsewhere with a generation that a move has stopped.
+    /// Resumes a generation that a relocation has stopped.
     async fn finish_relocation(
         &mut self,
         kv_copy: &KvCopy,
@@ -99,7 +99,7 @@
     ) -> Result<(), EndReason> {
         let stopped = Instant::now();
         self.unclaimed_copy = Some(kv_copy.clone());
-        // The links are free for the next copy while this generation starts again.
+        // Reported before resuming, so that the next copy can start on the link.
         self.placed.moved(to, to != from);
         let went_on = match self.drain_stopped().await {
             Ok(()) => self.resume_from_copy(kv_copy, from, to).await,
@@ -114,13 +114,13 @@
             event = EventId::MoveEnded.number(), id = self.job.caller.id.as_str(),
             from = &**from, to = &**to, end = result, took_ms = took.as_millis() as u64,
             pause_ms = stopped.elapsed().as_millis() as u64, last = self.last_event_id.unwrap_or(0);
-            "a generation was moved"
+            "a generation was relocated"
         );
         self.relay.metrics.moved(result);
         went_on
     }
 
-    /// Passes on what the stopped generation made before.
+    /// Forwards the events that the stopped generation has already sent.
     async fn drain_stopped(&mut self) -> Result<(), EndReason> {
         let until = Instant::now() + DRAIN_TIMEOUT;
         loop {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Goes on at the endpoint that has the copy, or else at the one that stopped.
+    /// Resumes on the target of the copy, or on the source if that fails.
     async fn resume_from_copy(
         &mut self,
         kv_copy: &KvCopy,
@@ -162,11 +162,11 @@
                 Err(lost) => error = format!("{lost:?}"),
             }
         }
-        Err(EndReason::GenerationLost(format!("the copy could not be used: {error}")))
+        Err(EndReason::GenerationLost(format!("failed to resume from the KV cache copy: {error}")))
     }
 }
 
-/// The end of the move on its way; never without one.
+/// The result of the relocation in progress; pending forever without one.
 pub(super) async fn next_relocation_result(
     relocation: &mut Option<Relocation>,
 ) -> RelocationResult {
