--- a/crates/server/src/relay/stream/relocation.rs
+++ b/crates/server/src/relay/stream/following.rs
@@ -9,10 +9,10 @@
 use crate::{
     relay::{
         KvCopy,
-        event_stream::StreamItem,
         generation::{Opened, open_on_endpoint},
         job::ResumeFrom,
-        relocation::{Relocation, RelocationResult},
+        moves::{Relocation, RelocationResult},
+        source::StreamItem,
     },
     runtime::MoveOrder,
     telemetry::EventId,
--- a/crates/server/src/relay/tests/cold_start.rs
+++ b/crates/server/src/relay/tests/cold_start.rs
@@ -8,7 +8,7 @@
     units::Instant,
 };
 
-use crate::relay::load_balancer::{ColdStartPolicy, LoadBalancer, Outcome};
+use crate::relay::loads::{ColdStartPolicy, LoadBalancer, Outcome};
 
 /// What an endpoint bears in a second while it is cold, and what it falls over at.
 const COLD_RPS: u32 = 20;
