--- a/crates/server/src/relay/backoff.rs
+++ b/crates/server/src/relay/backoff.rs
@@ -125,9 +125,10 @@
             return Ok(());
         }
         let endpoints = self.node.view().open_endpoints(&job.service).len();
-        let mut refusals = self.refusals.borrow_mut();
-        let refusals = refusals.entry(job.service.clone()).or_default();
-        let wait = wait.min(trayswitch_core::backoff::MAX_BACKOFF) + refusals.add(endpoints, now);
+        let mut retry_spreaders = self.retry_spreaders.borrow_mut();
+        let retry_spreader = retry_spreaders.entry(job.service.clone()).or_default();
+        let wait =
+            wait.min(trayswitch_core::backoff::MAX_BACKOFF) + retry_spreader.add(endpoints, now);
         let message = format!(
             "all endpoints of {} have asked this daemon to back off; retry after {} ms",
             job.service,
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -118,7 +118,7 @@
     /// One permit for each endpoint that is watched after a failed attempt.
     watch_permits: Arc<Semaphore>,
     /// Spreads the retries of callers refused together, by service.
-    refusals: RefCell<HashMap<String, RetrySpreader>>,
+    retry_spreaders: RefCell<HashMap<String, RetrySpreader>>,
     metrics: Rc<Metrics>,
 }
 
@@ -142,7 +142,7 @@
             permit_denied_until: RefCell::default(),
             unconfirmed_since: Cell::new(Some(Instant::now())),
             watch_permits: Arc::new(Semaphore::new(MAX_WATCHED_ENDPOINTS)),
-            refusals: RefCell::default(),
+            retry_spreaders: RefCell::default(),
             metrics,
         }
     }
