--- a/crates/core/src/node/changes.rs
+++ b/crates/core/src/node/config_changes.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use prost::Message;
 
-use super::fetching::AHEAD;
+use super::config_fetch::PREFETCH_PIECES;
 use crate::{
     config::{Delta, Document, HashedSection, SectionName},
     state::{AcceptedChange, ChangeId, EncodedDelta, EncodedSection, State},
@@ -27,35 +27,38 @@
 pub(crate) const PIECE_BYTES: usize = 16 * 1024;
 /// Changes that are kept for daemons behind by some versions, in bytes of the log; a daemon that
 /// lacks more is sent the whole document. A document of 4,250 routes has 2 MB.
-const RECENT_BYTES: usize = 4 * 1024 * 1024;
+const MAX_RECENT_BYTES: usize = 4 * 1024 * 1024;
 /// A change made for daemons further behind that none has asked for in this time is dropped:
 /// several times what a daemon waits for a piece.
-const MADE_LIFE: Duration = Duration::from_secs(5);
+const MERGED_TTL: Duration = Duration::from_secs(5);
 /// Most such changes that are kept in pieces. Daemons that start, or fall behind, while versions
 /// follow each other lack different ones. With documents of 2 MB they are 32 MB.
-const MAX_MADE: usize = 16;
+const MAX_MERGED: usize = 16;
 
 /// A change and the pieces of it that have been made.
 #[derive(Debug)]
-struct Cut {
+struct EncodedChange {
     id: ChangeId,
     pieces: Vec<Bytes>,
     changed: btree_map::IntoIter<SectionName, Arc<HashedSection>>,
     removed: vec::IntoIter<SectionName>,
 }
 
-impl Cut {
-    fn new(change: AcceptedChange) -> Cut {
+impl EncodedChange {
+    fn new(change: AcceptedChange) -> EncodedChange {
         let AcceptedChange { id, delta } = change;
         let (changed, removed) = (delta.changed.into_iter(), delta.removed.into_iter());
-        Cut { id, pieces: Vec::new(), changed, removed }
+        EncodedChange { id, pieces: Vec::new(), changed, removed }
     }
 
     /// The whole accepted document, as a change of the empty one.
-    fn whole(state: &State) -> Cut {
+    fn whole(state: &State) -> EncodedChange {
         let hash = Bytes::copy_from_slice(&state.hash().0);
         let id = ChangeId { version: state.version(), base: 0, hash };
-        Cut::new(AcceptedChange { id, delta: Document::default().delta_to(state.document()) })
+        EncodedChange::new(AcceptedChange {
+            id,
+            delta: Document::default().delta_to(state.document()),
+        })
     }
 
     /// Whether pieces are left to be made; there is always a first one.
@@ -64,7 +67,7 @@
         left || self.pieces.is_empty()
     }
 
-    fn make_piece(&mut self) {
+    fn encode_next_piece(&mut self) {
         let mut piece = EncodedDelta::default();
         let mut bytes = 0;
         while bytes < PIECE_BYTES
@@ -87,7 +90,7 @@
     fn piece(&mut self, number: u64) -> Option<Piece> {
         let at = usize::try_from(number).ok()?;
         while self.pieces.len() <= at && self.has_more() {
-            self.make_piece();
+            self.encode_next_piece();
         }
         let delta = self.pieces.get(at)?.clone();
         let last = at + 1 == self.pieces.len() && !self.has_more();
@@ -97,43 +100,43 @@
 
 /// An accepted change and the bytes that it takes in the log.
 #[derive(Debug)]
-struct Recent {
+struct RecentChange {
     delta: Delta,
-    cut: Cut,
+    encoded: EncodedChange,
     bytes: usize,
 }
 
 /// A change made for daemons that lack more than the latest one, and when one last asked for a
 /// piece of it.
 #[derive(Debug)]
-struct Made {
-    cut: Cut,
-    asked: Instant,
+struct MergedChange {
+    encoded: EncodedChange,
+    last_used: Instant,
 }
 
 /// What daemons may fetch.
 #[derive(Debug, Default)]
-pub(super) struct Changes {
+pub(super) struct ConfigChanges {
     /// Accepted changes, oldest first; each goes on from the one before.
-    recent: VecDeque<Recent>,
+    recent: VecDeque<RecentChange>,
     recent_bytes: usize,
     /// Several of them together and whole documents, the one that was asked for last at the end.
-    made: Vec<Made>,
+    merged: Vec<MergedChange>,
 }
 
-impl Changes {
+impl ConfigChanges {
     /// Notes an accepted change, which takes this many bytes in the log.
     pub(super) fn push(&mut self, change: AcceptedChange, bytes: usize) {
-        let before = self.recent.back().map(|recent| recent.cut.id.version);
+        let before = self.recent.back().map(|recent| recent.encoded.id.version);
         if before.is_some_and(|before| before != change.id.base) {
             // A snapshot came between: what is kept leads nowhere.
             self.recent.clear();
             self.recent_bytes = 0;
         }
         let delta = change.delta.clone();
-        self.recent.push_back(Recent { delta, cut: Cut::new(change), bytes });
+        self.recent.push_back(RecentChange { delta, encoded: EncodedChange::new(change), bytes });
         self.recent_bytes += bytes;
-        while RECENT_BYTES < self.recent_bytes
+        while MAX_RECENT_BYTES < self.recent_bytes
             && 1 < self.recent.len()
             && let Some(oldest) = self.recent.pop_front()
         {
@@ -143,7 +146,7 @@
 
     /// The latest change, encoded, if one piece holds all of it.
     pub(super) fn latest_if_small(&mut self) -> Option<Bytes> {
-        let latest = &mut self.recent.back_mut()?.cut;
+        let latest = &mut self.recent.back_mut()?.encoded;
         latest.piece(0).filter(|piece| piece.last).map(|piece| piece.delta)
     }
 
@@ -155,39 +158,43 @@
         state: &State,
         now: Instant,
     ) -> Option<Vec<Piece>> {
-        let cut = self.find(fetch, state, now)?;
-        let goes_on = fetch.begun.as_ref() == Some(&cut.id);
+        let encoded = self.find(fetch, state, now)?;
+        let is_continuation = fetch.begun.as_ref() == Some(&encoded.id);
         // A daemon that asked for one more piece of another change lacks all ahead of this one.
-        let (first, count) =
-            if goes_on { (fetch.first, fetch.count) } else { (0, fetch.count.max(AHEAD)) };
+        let (first, count) = if is_continuation {
+            (fetch.first, fetch.count)
+        } else {
+            (0, fetch.count.max(PREFETCH_PIECES))
+        };
         let numbers = first..first.saturating_add(count);
-        Some(numbers.map_while(|number| cut.piece(number)).collect())
+        Some(numbers.map_while(|number| encoded.piece(number)).collect())
     }
 
-    fn find(&mut self, fetch: &Fetch, state: &State, now: Instant) -> Option<&mut Cut> {
-        let begun = |id: &ChangeId| fetch.begun.as_ref() == Some(id);
-        if let Some(at) = self.made.iter().position(|made| begun(&made.cut.id)) {
-            return Some(self.ask_made(at, now));
+    fn find(&mut self, fetch: &Fetch, state: &State, now: Instant) -> Option<&mut EncodedChange> {
+        let is_begun = |id: &ChangeId| fetch.begun.as_ref() == Some(id);
+        if let Some(at) = self.merged.iter().position(|merged| is_begun(&merged.encoded.id)) {
+            return Some(self.touch_merged(at, now));
         }
-        if let Some(at) = self.recent.iter().position(|recent| begun(&recent.cut.id)) {
-            return Some(&mut self.recent[at].cut);
+        if let Some(at) = self.recent.iter().position(|recent| is_begun(&recent.encoded.id)) {
+            return Some(&mut self.recent[at].encoded);
         }
         if state.version() <= fetch.after {
             return None;
         }
         let is_wanted = |id: &ChangeId| (id.base, id.version) == (fetch.after, state.version());
-        if let Some(at) = self.made.iter().position(|made| is_wanted(&made.cut.id)) {
-            return Some(self.ask_made(at, now));
+        if let Some(at) = self.merged.iter().position(|merged| is_wanted(&merged.encoded.id)) {
+            return Some(self.touch_merged(at, now));
         }
-        let follows = |recent: &Recent| 0 < fetch.after && recent.cut.id.base == fetch.after;
-        self.made.retain(|made| now.since(made.asked) < MADE_LIFE);
+        let follows =
+            |recent: &RecentChange| 0 < fetch.after && recent.encoded.id.base == fetch.after;
+        self.merged.retain(|merged| now.since(merged.last_used) < MERGED_TTL);
         match self.recent.iter().position(follows) {
             // A daemon that fetches one change after the other catches up as well, only later.
-            Some(at) if at + 1 == self.recent.len() || MAX_MADE <= self.made.len() => {
-                Some(&mut self.recent[at].cut)
+            Some(at) if at + 1 == self.recent.len() || MAX_MERGED <= self.merged.len() => {
+                Some(&mut self.recent[at].encoded)
             }
-            Some(at) => Some(self.keep(self.cut_together(at), now)),
-            None => Some(self.keep(Cut::whole(state), now)),
+            Some(at) => Some(self.insert_merged(self.merge_from(at), now)),
+            None => Some(self.insert_merged(EncodedChange::whole(state), now)),
         }
     }
 
@@ -195,26 +202,29 @@
     /// each other is behind by two fetches at most, and takes nothing that a later change makes
     /// void: entries of 0.1 cores were thirteen versions behind when they took each change of
     /// 1,400 routes that came every 0.3 s.
-    fn cut_together(&self, first: usize) -> Cut {
+    fn merge_from(&self, first: usize) -> EncodedChange {
         let recent = || self.recent.range(first..);
         let delta = Delta::together(recent().map(|recent| &recent.delta));
         let (base, newest) =
-            (&self.recent[first].cut.id, &self.recent[self.recent.len() - 1].cut.id);
-        Cut::new(AcceptedChange { id: ChangeId { base: base.base, ..newest.clone() }, delta })
+            (&self.recent[first].encoded.id, &self.recent[self.recent.len() - 1].encoded.id);
+        EncodedChange::new(AcceptedChange {
+            id: ChangeId { base: base.base, ..newest.clone() },
+            delta,
+        })
     }
 
-    fn keep(&mut self, cut: Cut, now: Instant) -> &mut Cut {
-        if MAX_MADE <= self.made.len() {
-            self.made.remove(0);
+    fn insert_merged(&mut self, encoded: EncodedChange, now: Instant) -> &mut EncodedChange {
+        if MAX_MERGED <= self.merged.len() {
+            self.merged.remove(0);
         }
-        self.made.push(Made { cut, asked: now });
-        self.ask_made(self.made.len() - 1, now)
+        self.merged.push(MergedChange { encoded, last_used: now });
+        self.touch_merged(self.merged.len() - 1, now)
     }
 
-    fn ask_made(&mut self, at: usize, now: Instant) -> &mut Cut {
-        let made = self.made.remove(at);
-        self.made.push(Made { asked: now, ..made });
-        let last = self.made.len() - 1;
-        &mut self.made[last].cut
+    fn touch_merged(&mut self, at: usize, now: Instant) -> &mut EncodedChange {
+        let merged = self.merged.remove(at);
+        self.merged.push(MergedChange { last_used: now, ..merged });
+        let last = self.merged.len() - 1;
+        &mut self.merged[last].encoded
     }
 }
--- a/crates/core/src/node/changes_tests.rs
+++ b/crates/core/src/node/config_changes_tests.rs
@@ -8,8 +8,8 @@
 
 use super::{
     Outbox, Output, VmName,
-    changes::{Changes, PIECE_BYTES},
-    fetching::{Fetching, Taken},
+    config_changes::{ConfigChanges, PIECE_BYTES},
+    config_fetch::{ConfigFetch, PieceOutcome},
 };
 use crate::{
     agreement::Entry,
@@ -36,7 +36,7 @@
 #[derive(Default)]
 struct Source {
     state: State,
-    changes: Changes,
+    changes: ConfigChanges,
 }
 
 impl Source {
@@ -77,12 +77,12 @@
     let mut choices = Choices::new(seed);
     let names: Vec<VmName> = (0..sources.len()).map(|n| format!("{n}").into()).collect();
     let mut out = Outbox::default();
-    let mut fetching = Fetching::begin(names[0].clone(), in_force, NOW, &mut out);
+    let mut config_fetch = ConfigFetch::start(names[0].clone(), in_force, NOW, &mut out);
     for _ in 0..10_000 {
         let mut asked = asked(&mut out);
         if asked.is_empty() || choices.below(8) == 0 {
             let other = choices.below(names.len() as u64) as usize;
-            fetching.go_on(names[other].clone(), NOW, &mut out);
+            config_fetch.switch_source(names[other].clone(), NOW, &mut out);
             // What was asked before is lost on the way, or comes late.
             if choices.below(2) == 0 {
                 asked.clear();
@@ -91,7 +91,8 @@
         for (to, fetch) in asked {
             let source = &mut sources[to.parse::<usize>().unwrap()];
             for piece in source.answer(&fetch).unwrap_or_default() {
-                if let Taken::Whole(change) = fetching.take(piece, NOW, &mut out) {
+                if let PieceOutcome::Complete(change) = config_fetch.on_piece(piece, NOW, &mut out)
+                {
                     return change;
                 }
             }
@@ -206,19 +207,19 @@
 #[gtest]
 fn a_change_of_another_source_begins_anew() {
     let mut out = Outbox::default();
-    let mut fetching = Fetching::begin("a".into(), 1, NOW, &mut out);
+    let mut config_fetch = ConfigFetch::start("a".into(), 1, NOW, &mut out);
     let piece = |version, number, last| {
         let change = ChangeId { version, ..ChangeId::default() };
         Piece { change, number, last, delta: Bytes::new() }
     };
-    fetching.take(piece(2, 0, false), NOW, &mut out);
+    config_fetch.on_piece(piece(2, 0, false), NOW, &mut out);
 
-    let crossed = fetching.take(piece(3, 1, true), NOW, &mut out);
-    let anew = fetching.take(piece(3, 0, false), NOW, &mut out);
-    let whole = fetching.take(piece(3, 1, true), NOW, &mut out);
+    let crossed = config_fetch.on_piece(piece(3, 1, true), NOW, &mut out);
+    let anew = config_fetch.on_piece(piece(3, 0, false), NOW, &mut out);
+    let whole = config_fetch.on_piece(piece(3, 1, true), NOW, &mut out);
 
-    expect_that!((crossed, anew), eq(&(Taken::Part, Taken::Part)));
-    let Taken::Whole(change) = whole else { panic!("{whole:?}") };
+    expect_that!((crossed, anew), eq(&(PieceOutcome::Partial, PieceOutcome::Partial)));
+    let PieceOutcome::Complete(change) = whole else { panic!("{whole:?}") };
     expect_that!(change.id.version, eq(3));
 }
 
@@ -228,13 +229,13 @@
     let mut source = Source::default();
     source.accept(1, 1, 10);
     source.accept(2, 100, 1_000);
-    let mut fetching = Fetching::begin("a".into(), 1, NOW, &mut out);
+    let mut config_fetch = ConfigFetch::start("a".into(), 1, NOW, &mut out);
 
-    let first = fetching.patience_ends().since(NOW);
-    fetching.go_on("b".into(), NOW, &mut out);
-    let second = fetching.patience_ends().since(NOW);
-    fetching.take(source.all(1).remove(0), NOW, &mut out);
-    let later = fetching.patience_ends().since(NOW);
+    let first = config_fetch.timeout_at().since(NOW);
+    config_fetch.switch_source("b".into(), NOW, &mut out);
+    let second = config_fetch.timeout_at().since(NOW);
+    config_fetch.on_piece(source.all(1).remove(0), NOW, &mut out);
+    let later = config_fetch.timeout_at().since(NOW);
 
     expect_that!(first, lt(Duration::from_millis(200)));
     expect_that!(second, gt(first));
@@ -258,7 +259,7 @@
             source.accept(2, after, bytes);
         }
         // One has lost what it kept of earlier changes and has only the document.
-        sources[1].changes = Changes::default();
+        sources[1].changes = ConfigChanges::default();
 
         let in_force = if starts_anew { 0 } else { 1 };
         let change = fetch_all(&mut sources, in_force, seed);
--- a/crates/core/src/node/fetching.rs
+++ b/crates/core/src/node/config_fetch.rs
@@ -15,49 +15,57 @@
 
 /// Pieces that are asked for ahead. Two keep a link of 10 Mbit/s busy over a round trip of 3 ms; a
 /// third covers a thread that is busy otherwise. What is under way keeps such a link busy for 40 ms.
-pub(super) const AHEAD: u64 = 3;
+pub(super) const PREFETCH_PIECES: u64 = 3;
 /// Without a first piece for this long, another control VM is asked: one that is cut off from the
 /// leader has nothing to send. Five round trips and pieces on a link of 10 Mbit/s; each further
 /// control VM has as much longer, for a fleet in which all are slow.
-const FIRST_PATIENCE: Duration = Duration::from_millis(150);
+const FIRST_PIECE_TIMEOUT: Duration = Duration::from_millis(150);
 /// The same once pieces have come.
-const PATIENCE: Duration = Duration::from_secs(1);
+const PIECE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A change that is being fetched.
 #[derive(Debug)]
-pub(super) struct Fetching {
+pub(super) struct ConfigFetch {
     from: VmName,
     /// The version that it is to go on from; zero for a whole document.
     base: u64,
     /// The change that the pieces belong to, once one has come.
-    begun: Option<ChangeId>,
+    change_id: Option<ChangeId>,
     /// What the pieces hold that have come.
     delta: Delta,
     /// Number of the piece that is expected.
-    next: u64,
-    heard: Instant,
+    next_piece: u64,
+    last_activity: Instant,
     /// Control VMs that were asked.
-    asked: u32,
+    sources_tried: u32,
 }
 
 /// What came of a piece.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Taken {
+pub(super) enum PieceOutcome {
     /// More are to come.
-    Part,
+    Partial,
     /// The change is whole.
-    Whole(AcceptedChange),
+    Complete(AcceptedChange),
     /// It cannot be read.
-    Broken,
+    Invalid,
 }
 
-impl Fetching {
+impl ConfigFetch {
     /// Begins to fetch what follows a version, or a whole document if that is zero.
-    pub(super) fn begin(from: VmName, base: u64, now: Instant, out: &mut Outbox) -> Fetching {
-        let (begun, delta) = (None, Delta::default());
-        let fetching = Fetching { from, base, begun, delta, next: 0, heard: now, asked: 1 };
-        fetching.ask(0, AHEAD, out);
-        fetching
+    pub(super) fn start(from: VmName, base: u64, now: Instant, out: &mut Outbox) -> ConfigFetch {
+        let (change_id, delta) = (None, Delta::default());
+        let fetch = ConfigFetch {
+            from,
+            base,
+            change_id,
+            delta,
+            next_piece: 0,
+            last_activity: now,
+            sources_tried: 1,
+        };
+        fetch.request(0, PREFETCH_PIECES, out);
+        fetch
     }
 
     /// The control VM that is asked.
@@ -71,45 +79,54 @@
     }
 
     /// When the control VM will have been silent for too long.
-    pub(super) fn patience_ends(&self) -> Instant {
-        let patience = if self.next == 0 { FIRST_PATIENCE * self.asked } else { PATIENCE };
-        self.heard.after(patience.min(PATIENCE))
+    pub(super) fn timeout_at(&self) -> Instant {
+        let patience = if self.next_piece == 0 {
+            FIRST_PIECE_TIMEOUT * self.sources_tried
+        } else {
+            PIECE_TIMEOUT
+        };
+        self.last_activity.after(patience.min(PIECE_TIMEOUT))
     }
 
     /// Goes on at another control VM, from the piece that is expected.
-    pub(super) fn go_on(&mut self, from: VmName, now: Instant, out: &mut Outbox) {
+    pub(super) fn switch_source(&mut self, from: VmName, now: Instant, out: &mut Outbox) {
         self.from = from;
-        self.heard = now;
-        self.asked += 1;
-        self.ask(self.next, AHEAD, out);
+        self.last_activity = now;
+        self.sources_tried += 1;
+        self.request(self.next_piece, PREFETCH_PIECES, out);
     }
 
     /// Takes a piece.
-    pub(super) fn take(&mut self, piece: Piece, now: Instant, out: &mut Outbox) -> Taken {
-        let known = self.begun.as_ref() == Some(&piece.change);
+    pub(super) fn on_piece(
+        &mut self,
+        piece: Piece,
+        now: Instant,
+        out: &mut Outbox,
+    ) -> PieceOutcome {
+        let known = self.change_id.as_ref() == Some(&piece.change);
         if !known && piece.number == 0 {
-            self.begun = Some(piece.change.clone());
+            self.change_id = Some(piece.change.clone());
             self.delta = Delta::default();
-            self.next = 0;
-        } else if !known || piece.number != self.next {
+            self.next_piece = 0;
+        } else if !known || piece.number != self.next_piece {
             // Asked of a control VM before, or come twice.
-            return Taken::Part;
+            return PieceOutcome::Partial;
         }
-        self.heard = now;
-        let Ok(delta) = EncodedDelta::read(piece.delta) else { return Taken::Broken };
+        self.last_activity = now;
+        let Ok(delta) = EncodedDelta::read(piece.delta) else { return PieceOutcome::Invalid };
         self.delta.changed.extend(delta.changed);
         self.delta.removed.extend(delta.removed);
-        self.next += 1;
+        self.next_piece += 1;
         if piece.last {
             let delta = std::mem::take(&mut self.delta);
-            return Taken::Whole(AcceptedChange { id: piece.change, delta });
+            return PieceOutcome::Complete(AcceptedChange { id: piece.change, delta });
         }
-        self.ask(self.next + AHEAD - 1, 1, out);
-        Taken::Part
+        self.request(self.next_piece + PREFETCH_PIECES - 1, 1, out);
+        PieceOutcome::Partial
     }
 
-    fn ask(&self, first: u64, count: u64, out: &mut Outbox) {
-        let fetch = Fetch { after: self.base, begun: self.begun.clone(), first, count };
+    fn request(&self, first: u64, count: u64, out: &mut Outbox) {
+        let fetch = Fetch { after: self.base, begun: self.change_id.clone(), first, count };
         out.send(&self.from, Body::Fetch(fetch));
     }
 }
--- a/crates/core/src/node/config_store.rs
+++ b/crates/core/src/node/config_store.rs
@@ -12,7 +12,7 @@
 
 use super::{
     Outbox, Output, VersionHash, VmName,
-    fetching::{Fetching, Taken},
+    config_fetch::{ConfigFetch, PieceOutcome},
 };
 use crate::{
     config::{CheckedDocument, Config, ContentHash, Delta, Document},
@@ -22,10 +22,10 @@
 };
 
 /// Stands for a file's name where an accepted configuration is checked again.
-const ACCEPTED: &str = "accepted configuration";
+const ACCEPTED_CONFIG_NAME: &str = "accepted configuration";
 /// Pause after a change was fetched that cannot come into force, so that a daemon which takes no
 /// change asks for a whole document no more than a few times a second.
-const FETCH_AGAIN: Duration = Duration::from_millis(250);
+const FETCH_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// A configuration in force.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
 
     /// The control VM to fetch from, after so many others. Each daemon prefers them in an order of
     /// its own, so that all control VMs share the work for a fleet.
-    fn after(&self, detours: usize) -> Option<VmName> {
+    fn nth_preferred(&self, sources_skipped: usize) -> Option<VmName> {
         let mut sources: Vec<&VmName> =
             self.replicas.iter().filter(|vm| self.links.contains(*vm)).collect();
         sources.sort_by_cached_key(|vm| {
@@ -74,7 +74,7 @@
             (&self.vm, vm).hash(&mut hasher);
             hasher.finish()
         });
-        let at = detours.checked_rem(sources.len())?;
+        let at = sources_skipped.checked_rem(sources.len())?;
         sources.get(at).map(|vm| (*vm).clone())
     }
 }
@@ -83,32 +83,32 @@
 pub(super) struct ConfigStore {
     active_config: Option<Arc<ActiveConfig>>,
     /// Whether this VM has a control replica, which brings it what is accepted.
-    is_control: bool,
+    has_local_replica: bool,
     /// The newest version that a leader has told of.
-    newest: u64,
+    newest_known: u64,
     /// The version that was current at the first confirmation in this life of the daemon: an
     /// older one may be older than what was in force before its start.
-    oldest_allowed: Option<u64>,
+    min_version: Option<u64>,
     /// A version that this release does not take; a newer one may do.
-    refused: Option<u64>,
-    fetching: Option<Fetching>,
+    rejected_version: Option<u64>,
+    fetch: Option<ConfigFetch>,
     /// How often another control VM had to be asked.
-    detours: usize,
+    sources_skipped: usize,
     /// Nothing is fetched before this.
-    fetch_again: Instant,
+    next_fetch_at: Instant,
 }
 
 impl ConfigStore {
     pub(super) fn new(now: Instant) -> ConfigStore {
         ConfigStore {
             active_config: None,
-            is_control: false,
-            newest: 0,
-            oldest_allowed: None,
-            refused: None,
-            fetching: None,
-            detours: 0,
-            fetch_again: now,
+            has_local_replica: false,
+            newest_known: 0,
+            min_version: None,
+            rejected_version: None,
+            fetch: None,
+            sources_skipped: 0,
+            next_fetch_at: now,
         }
     }
 
@@ -123,13 +123,13 @@
 
     /// From now on what is accepted comes from this VM's own control replica.
     pub(super) fn use_local_replica(&mut self) {
-        self.is_control = true;
+        self.has_local_replica = true;
     }
 
     /// A leader has confirmed that this version was current at some moment of this daemon's life.
-    pub(super) fn confirmed_current(&mut self, version: u64) {
-        self.oldest_allowed.get_or_insert(version);
-        self.newest = self.newest.max(version);
+    pub(super) fn on_version_confirmed(&mut self, version: u64) {
+        self.min_version.get_or_insert(version);
+        self.newest_known = self.newest_known.max(version);
     }
 
     /// Takes a leader's word that a version was accepted, and what it changes if that comes with
@@ -143,13 +143,13 @@
     ) -> bool {
         let Update { change: id, delta } = update;
         let version = id.version;
-        self.newest = self.newest.max(version);
+        self.newest_known = self.newest_known.max(version);
         let current = self.version_hash().version;
-        if version <= current || self.is_control {
+        if version <= current || self.has_local_replica {
             return false;
         }
         let delta = delta.filter(|_| id.base == current).map(EncodedDelta::read);
-        let taken = match delta {
+        let activated = match delta {
             Some(Ok(delta)) => self.apply(AcceptedChange { id, delta }, out),
             Some(Err(_)) => {
                 out.push(Output::ConfigRejected { version, reason: "it cannot be read" });
@@ -158,7 +158,7 @@
             None => false,
         };
         self.fetch_if_missing(sources, now, out);
-        taken
+        activated
     }
 
     /// Takes a piece of the change that is being fetched, also from a control VM that was given up
@@ -170,41 +170,41 @@
         now: Instant,
         out: &mut Outbox,
     ) -> bool {
-        let Some(fetching) = &mut self.fetching else { return false };
+        let Some(fetch) = &mut self.fetch else { return false };
         let version = piece.change.version;
-        let change = match fetching.take(piece, now, out) {
-            Taken::Part => return false,
-            Taken::Broken => {
+        let change = match fetch.on_piece(piece, now, out) {
+            PieceOutcome::Partial => return false,
+            PieceOutcome::Invalid => {
                 out.push(Output::ConfigRejected {
                     version,
                     reason: "a piece of it cannot be read",
                 });
                 None
             }
-            Taken::Whole(change) => Some(change),
+            PieceOutcome::Complete(change) => Some(change),
         };
-        self.fetching = None;
-        let taken = change.is_some_and(|change| self.apply(change, out));
-        if !taken {
+        self.fetch = None;
+        let activated = change.is_some_and(|change| self.apply(change, out));
+        if !activated {
             // That control VM is behind, or this release does not take the change.
-            self.detours += 1;
-            self.fetch_again = now.after(FETCH_AGAIN);
+            self.sources_skipped += 1;
+            self.next_fetch_at = now.after(FETCH_RETRY_DELAY);
         }
         self.fetch_if_missing(sources, now, out);
-        taken
+        activated
     }
 
     /// Takes what this VM's own control replica knows to be accepted. Returns whether it came
     /// into force.
     pub(super) fn load_accepted(&mut self, state: &State, out: &mut Outbox) -> bool {
-        if !self.is_allowed(state.version()) {
+        if !self.may_activate(state.version()) {
             return false;
         }
         let nothing = Document::default();
         let before = self.active_config.as_ref().map_or(&nothing, |f| &f.document);
         let delta = before.delta_to(state.document());
         let version = VersionHash { version: state.version(), hash: state.hash() };
-        self.put_in_force(version, state.document().clone(), &delta, out)
+        self.activate(version, state.document().clone(), &delta, out)
     }
 
     /// Fetches the change that follows the version in force, if there is a newer one.
@@ -214,61 +214,61 @@
         now: Instant,
         out: &mut Outbox,
     ) {
-        let known = self.version_hash().version.max(self.refused.unwrap_or_default());
+        let known = self.version_hash().version.max(self.rejected_version.unwrap_or_default());
         // No change leads on from a version that is refused; a whole document may.
-        let base = if self.refused.is_some() { 0 } else { known };
-        self.fetching.take_if(|fetching| fetching.base() != base);
+        let base = if self.rejected_version.is_some() { 0 } else { known };
+        self.fetch.take_if(|fetch| fetch.base() != base);
         // Before the first confirmation nothing may come into force.
-        let is_known = self.active_config.is_some() || self.oldest_allowed.is_some();
-        let is_missing = is_known && known < self.newest && !self.is_control;
-        if !is_missing || self.fetching.is_some() || now < self.fetch_again {
+        let is_known = self.active_config.is_some() || self.min_version.is_some();
+        let is_missing = is_known && known < self.newest_known && !self.has_local_replica;
+        if !is_missing || self.fetch.is_some() || now < self.next_fetch_at {
             return;
         }
-        if let Some(source) = sources.after(self.detours) {
-            self.fetching = Some(Fetching::begin(source, base, now, out));
+        if let Some(source) = sources.nth_preferred(self.sources_skipped) {
+            self.fetch = Some(ConfigFetch::start(source, base, now, out));
         }
     }
 
     /// A control VM cannot be reached any more.
-    pub(super) fn source_lost(
+    pub(super) fn on_source_lost(
         &mut self,
         vm: &VmName,
         sources: &ConfigSources,
         now: Instant,
         out: &mut Outbox,
     ) {
-        if self.fetching.as_ref().is_some_and(|fetching| fetching.from() == vm) {
-            self.fetch_elsewhere(sources, now, out);
+        if self.fetch.as_ref().is_some_and(|fetch| fetch.from() == vm) {
+            self.fetch_from_next_source(sources, now, out);
         }
     }
 
     /// When [`ConfigStore::tick`] next has something to do.
     pub(super) fn next_tick(&self) -> Option<Instant> {
-        self.fetching.as_ref().map(Fetching::patience_ends)
+        self.fetch.as_ref().map(ConfigFetch::timeout_at)
     }
 
     pub(super) fn tick(&mut self, sources: &ConfigSources, now: Instant, out: &mut Outbox) {
         if self.next_tick().is_some_and(|at| at <= now) {
-            self.fetch_elsewhere(sources, now, out);
+            self.fetch_from_next_source(sources, now, out);
         }
     }
 
-    fn fetch_elsewhere(&mut self, sources: &ConfigSources, now: Instant, out: &mut Outbox) {
-        self.detours += 1;
-        match (&mut self.fetching, sources.after(self.detours)) {
-            (Some(fetching), Some(source)) => fetching.go_on(source, now, out),
-            _ => self.fetching = None,
+    fn fetch_from_next_source(&mut self, sources: &ConfigSources, now: Instant, out: &mut Outbox) {
+        self.sources_skipped += 1;
+        match (&mut self.fetch, sources.nth_preferred(self.sources_skipped)) {
+            (Some(fetch), Some(source)) => fetch.switch_source(source, now, out),
+            _ => self.fetch = None,
         }
     }
 
     /// Whether a version may come into force here: versions only rise, also over restarts.
-    fn is_allowed(&self, version: u64) -> bool {
-        if self.refused == Some(version) {
+    fn may_activate(&self, version: u64) -> bool {
+        if self.rejected_version == Some(version) {
             return false;
         }
         match &self.active_config {
             Some(active_config) => active_config.version < version,
-            None => 0 < version && self.oldest_allowed.is_some_and(|oldest| oldest <= version),
+            None => 0 < version && self.min_version.is_some_and(|oldest| oldest <= version),
         }
     }
 
@@ -279,11 +279,11 @@
     /// Brings a change into force if it goes on from what is, or is a whole document.
     fn apply(&mut self, change: AcceptedChange, out: &mut Outbox) -> bool {
         let AcceptedChange { id, delta } = change;
-        let goes_on = id.base == self.version_hash().version;
-        if !self.is_allowed(id.version) || (!goes_on && id.base != 0) {
+        let is_incremental = id.base == self.version_hash().version;
+        if !self.may_activate(id.version) || (!is_incremental && id.base != 0) {
             return false;
         }
-        let mut document = if goes_on { self.document() } else { Document::default() };
+        let mut document = if is_incremental { self.document() } else { Document::default() };
         document.apply(&delta);
         let hash = document.content_hash();
         if hash.0[..] != id.hash[..] {
@@ -291,12 +291,12 @@
             out.push(Output::ConfigRejected { version: id.version, reason });
             return false;
         }
-        let delta = if goes_on { delta } else { self.document().delta_to(&document) };
-        self.put_in_force(VersionHash { version: id.version, hash }, document, &delta, out)
+        let delta = if is_incremental { delta } else { self.document().delta_to(&document) };
+        self.activate(VersionHash { version: id.version, hash }, document, &delta, out)
     }
 
     /// Brings a document into force, which the delta makes of the one before.
-    fn put_in_force(
+    fn activate(
         &mut self,
         version: VersionHash,
         document: Document,
@@ -306,18 +306,18 @@
         // It was checked when it was submitted; a daemon of another release may still refuse
         // it, and then shows itself stale.
         let config = match &self.active_config {
-            Some(before) => before.config.updated(ACCEPTED, &document, delta),
-            None => Config::check(ACCEPTED, &document),
+            Some(before) => before.config.updated(ACCEPTED_CONFIG_NAME, &document, delta),
+            None => Config::check(ACCEPTED_CONFIG_NAME, &document),
         };
         let VersionHash { version, hash } = version;
         let Ok(config) = config else {
-            self.refused = Some(version);
+            self.rejected_version = Some(version);
             out.push(Output::ConfigRejected { version, reason: "this release does not take it" });
             return false;
         };
-        self.refused = None;
+        self.rejected_version = None;
         self.active_config = Some(Arc::new(ActiveConfig { version, hash, document, config }));
-        self.newest = self.newest.max(version);
+        self.newest_known = self.newest_known.max(version);
         true
     }
 }
--- a/crates/core/src/node/config_store_tests.rs
+++ b/crates/core/src/node/config_store_tests.rs
@@ -35,7 +35,7 @@
     /// A daemon at which version 1 is in force.
     fn at_version_1() -> Daemon {
         let mut daemon = Daemon::without_configuration();
-        daemon.config_store.confirmed_current(0);
+        daemon.config_store.on_version_confirmed(0);
         assert!(daemon.update(ConfigChange::new(1, 0, &Document::default(), &document(1))));
         daemon
     }
@@ -104,13 +104,13 @@
 #[gtest]
 fn a_first_configuration_is_no_older_than_what_was_confirmed_first() {
     let mut daemon = Daemon::without_configuration();
-    daemon.config_store.confirmed_current(5);
+    daemon.config_store.on_version_confirmed(5);
     daemon.fetch();
 
     let older = daemon.piece(4, &document(4));
     let mut later = Daemon::without_configuration();
-    later.config_store.confirmed_current(5);
-    later.config_store.confirmed_current(6);
+    later.config_store.on_version_confirmed(5);
+    later.config_store.on_version_confirmed(6);
     later.fetch();
     let newer = later.piece(5, &document(5));
 
--- a/crates/core/src/node/control/answers.rs
+++ b/crates/core/src/node/control/answers.rs
@@ -1,8 +1,8 @@
-//! Answers to daemons: polls, and operations on the replicated state.
+//! Serves requests of daemons: polls, configuration fetches and operations on the replicated state.
 
 use bytes::Bytes;
 
-use super::{Asker, ControlReplica, Daemon, Proposed};
+use super::{ControlReplica, DaemonState, PendingProposal, ReplyTo};
 use crate::{
     agreement::ConfirmedRead,
     config::ContentHash,
@@ -18,28 +18,29 @@
 };
 
 impl ControlReplica {
-    pub(super) fn poll(&mut self, from: &VmName, poll: Poll, clocks: Clocks, out: &mut Outbox) {
+    /// Registers a poll; it is answered once a quorum confirms that this replica still leads.
+    pub(super) fn on_poll(&mut self, from: &VmName, poll: Poll, clocks: Clocks, out: &mut Outbox) {
         if !self.leads() {
-            return self.not_leader(from, None, out);
+            return self.reply_not_leader(from, None, out);
         }
         let before = self.daemons.get(from).and_then(|daemon| daemon.stopping_since);
-        let daemon = Daemon {
+        let daemon = DaemonState {
             version: poll.version,
-            heard: clocks.now,
+            last_poll: clocks.now,
             takes_callers: poll.takes_callers,
             suspects: CopyState { known: poll.suspects, filling: poll.filling },
             stopping_since: poll.stopping.then(|| before.unwrap_or(clocks.now)),
         };
         self.daemons.insert(from.clone(), daemon);
-        self.next_read += 1;
-        self.polls.insert(self.next_read, (from.clone(), poll));
-        self.replica.read(self.next_read, clocks.now);
-        self.pump(clocks, out);
+        self.last_read_token += 1;
+        self.pending_polls.insert(self.last_read_token, (from.clone(), poll));
+        self.replica.read(self.last_read_token, clocks.now);
+        self.process_ready(clocks, out);
     }
 
     pub(super) fn answer_poll(&mut self, read: ConfirmedRead, now: Instant, out: &mut Outbox) {
-        let Some((vm, poll)) = self.polls.remove(&read.token) else { return };
-        let entries = self.entries(now);
+        let Some((vm, poll)) = self.pending_polls.remove(&read.token) else { return };
+        let entries = self.count_entry_daemons(now);
         let slow = self.dispatcher.as_mut().map(|dispatcher| dispatcher.next_slow_endpoints(now));
         let limits = self.dispatcher.as_mut().map(|dispatcher| dispatcher.next_rate_limits(now));
         let reply = PollReply {
@@ -52,17 +53,17 @@
             stopping: entries.stopping,
             slow: slow.unwrap_or_default(),
             halls: Some(self.state.halls_out().clone()),
-            suspects: self.suspects_news_for(&vm),
+            suspects: self.suspect_news_for(&vm),
             limits: limits.unwrap_or_default(),
         };
         out.send(&vm, Body::PollReply(reply));
     }
 
-    /// Sends the pieces that a daemon asks for. What is not accepted here yet is sent once it is:
-    /// a replica that follows learns of it a moment after the leader.
-    pub(super) fn fetch(&mut self, from: &VmName, fetch: Fetch, now: Instant, out: &mut Outbox) {
-        let Some(pieces) = self.changes.answer(&fetch, &self.state, now) else {
-            self.fetches.insert(from.clone(), fetch);
+    /// Sends the requested pieces. A fetch of a version that this replica has not applied yet waits for
+    /// it: followers apply entries slightly later than the leader.
+    pub(super) fn on_fetch(&mut self, from: &VmName, fetch: Fetch, now: Instant, out: &mut Outbox) {
+        let Some(pieces) = self.config_changes.answer(&fetch, &self.state, now) else {
+            self.waiting_fetches.insert(from.clone(), fetch);
             return;
         };
         for piece in pieces {
@@ -71,29 +72,29 @@
         }
     }
 
-    /// Answers those that waited for what has been accepted now.
-    pub(super) fn answer_fetches(&mut self, now: Instant, out: &mut Outbox) {
-        for (vm, fetch) in std::mem::take(&mut self.fetches) {
-            self.fetch(&vm, fetch, now, out);
+    /// Answers the fetches that waited for the version applied last.
+    pub(super) fn answer_waiting_fetches(&mut self, now: Instant, out: &mut Outbox) {
+        for (vm, fetch) in std::mem::take(&mut self.waiting_fetches) {
+            self.on_fetch(&vm, fetch, now, out);
         }
     }
 
-    pub(super) fn operation(
+    pub(super) fn on_operation(
         &mut self,
         from: &VmName,
         operation: Operation,
         clocks: Clocks,
         out: &mut Outbox,
     ) {
-        let asker = Asker { vm: from.clone(), operation: operation.id };
+        let reply_to = ReplyTo { vm: from.clone(), operation: operation.id };
         if !self.leads() {
-            return self.not_leader(from, Some(operation.id), out);
+            return self.reply_not_leader(from, Some(operation.id), out);
         }
         let kind = match operation.kind {
             Some(OperationKind::Submit(submit)) => {
-                self.submissions.push_back((asker, submit));
-                self.next_submission(clocks, out);
-                return self.pump(clocks, out);
+                self.submissions.push_back((reply_to, submit));
+                self.propose_next_submission(clocks, out);
+                return self.process_ready(clocks, out);
             }
             Some(OperationKind::Claim(claim)) => command::Kind::Claim(claim),
             Some(OperationKind::Settle(settle)) => command::Kind::Settle(settle),
@@ -102,29 +103,29 @@
             Some(OperationKind::Clear(clear)) => command::Kind::Clear(clear),
             None => return,
         };
-        self.propose(asker, kind, None, clocks, out);
-        self.pump(clocks, out);
+        self.propose(reply_to, kind, None, clocks, out);
+        self.process_ready(clocks, out);
     }
 
-    /// Proposes the next submitted file; only one is on its way at a time, since each is a
-    /// delta on the one before.
-    pub(super) fn next_submission(&mut self, clocks: Clocks, out: &mut Outbox) {
-        if self.proposed.values().any(|proposed| proposed.submit.is_some()) {
+    /// Proposes the next submitted file. Only one is in flight at a time, since each is a delta on its
+    /// predecessor.
+    pub(super) fn propose_next_submission(&mut self, clocks: Clocks, out: &mut Outbox) {
+        if self.proposals.values().any(|proposal| proposal.submit.is_some()) {
             return;
         }
-        while let Some((asker, submit)) = self.submissions.pop_front() {
-            match self.judge(&submit) {
+        while let Some((reply_to, submit)) = self.submissions.pop_front() {
+            match self.validate_submission(&submit) {
                 Ok(command) => {
                     let kind = command::Kind::Config(command);
-                    return self.propose(asker, kind, Some(submit), clocks, out);
+                    return self.propose(reply_to, kind, Some(submit), clocks, out);
                 }
-                Err(result) => reply(&asker, result, out),
+                Err(result) => send_reply(&reply_to, result, out),
             }
         }
     }
 
-    /// The command for a submitted file, or the answer if none is needed.
-    fn judge(&self, submit: &Submit) -> Result<ConfigChange, OperationResult> {
+    /// The change to propose for a submitted file, or the result if there is nothing to propose.
+    fn validate_submission(&self, submit: &Submit) -> Result<ConfigChange, OperationResult> {
         let command = &submit.command;
         let hash = ContentHash::from_slice(&command.hash).unwrap_or_default();
         match self.state.judge(command.version, hash) {
@@ -134,6 +135,7 @@
         }
     }
 
+    /// Translates the state machine's verdict on a submitted file for the daemon that sent it.
     pub(super) fn config_result(&self, submit: &Submit, result: ConfigResult) -> OperationResult {
         let Submit { file, command, or_newer } = submit;
         let version = command.version;
@@ -170,7 +172,7 @@
 
     fn propose(
         &mut self,
-        asker: Asker,
+        reply_to: ReplyTo,
         kind: command::Kind,
         submit: Option<Submit>,
         clocks: Clocks,
@@ -180,25 +182,25 @@
         match self.replica.propose(payload, clocks.wall, clocks.now) {
             Ok(index) => {
                 let term = self.replica.term();
-                self.proposed.insert(index, Proposed { term, asker, submit });
+                self.proposals.insert(index, PendingProposal { term, reply_to, submit });
             }
-            Err(_) => self.not_leader(&asker.vm.clone(), Some(asker.operation), out),
+            Err(_) => self.reply_not_leader(&reply_to.vm.clone(), Some(reply_to.operation), out),
         }
     }
 
-    pub(super) fn not_leader(&self, to: &VmName, operation: Option<u64>, out: &mut Outbox) {
+    pub(super) fn reply_not_leader(&self, to: &VmName, operation: Option<u64>, out: &mut Outbox) {
         let leader = self.replica.leader().filter(|id| *id != self.replica.id());
         let leader = leader.and_then(|id| self.vm_of(id)).map(|vm| vm.to_string());
         out.send(to, Body::NotLeader(NotLeader { leader, operation }));
     }
 }
 
-pub(super) fn reply(asker: &Asker, result: OperationResult, out: &mut Outbox) {
-    let reply = OperationReply { id: asker.operation, result: Some(result) };
-    out.send(&asker.vm, Body::OperationReply(reply));
+pub(super) fn send_reply(reply_to: &ReplyTo, result: OperationResult, out: &mut Outbox) {
+    let reply = OperationReply { id: reply_to.operation, result: Some(result) };
+    out.send(&reply_to.vm, Body::OperationReply(reply));
 }
 
-pub(super) fn claim_reply(result: ClaimResult) -> ClaimReply {
+pub(super) fn encode_claim_reply(result: ClaimResult) -> ClaimReply {
     let (status, answer) = match result {
         ClaimResult::Granted => (ClaimStatus::Granted, None),
         ClaimResult::InProgress => (ClaimStatus::InProgress, None),
@@ -210,7 +212,7 @@
     ClaimReply { status: status.into(), answer }
 }
 
-pub(super) fn hall_reply(result: HallResult) -> HallReply {
+pub(super) fn encode_hall_reply(result: HallResult) -> HallReply {
     let status = match result {
         HallResult::Done => HallStatus::Done,
         HallResult::Repeated => HallStatus::Repeated,
--- a/crates/core/src/node/control/mod.rs
+++ b/crates/core/src/node/control/mod.rs
@@ -1,4 +1,4 @@
-//! A control replica: agreement, the replicated state, and the leader's answers to daemons.
+//! A control replica: runs consensus, applies the replicated state and, on the leader, serves daemons.
 
 mod answers;
 mod ready;
@@ -12,7 +12,7 @@
 
 use super::{
     ByVm, Clocks, NodeOptions, Outbox, VmName,
-    changes::Changes,
+    config_changes::ConfigChanges,
     control_client::EntryDaemons,
     dispatcher::Dispatcher,
     engines::Engines,
@@ -29,49 +29,52 @@
 };
 
 pub use self::status::{ControlStatus, DaemonStatus, ReplicaStatus};
-use self::suspects::Suspects;
+use self::suspects::SuspectCoordinator;
 
-/// A daemon that has not polled for this long is not counted as live.
-const DAEMON_LIFE: Duration = Duration::from_secs(3);
-/// After the begin of its planned stop, callers are sent to a daemon for this long: balancers ask
-/// each second and give up after the second miss.
-const STILL_SENT_TO: Duration = Duration::from_millis(2_500);
-const HOUSEKEEPING: Duration = Duration::from_millis(250);
+/// A daemon that has not polled for this long counts as dead.
+const DAEMON_TIMEOUT: Duration = Duration::from_secs(3);
+/// A stopping daemon still receives callers for this long: load balancers probe once a second and
+/// drop a target after two failed probes.
+const DRAIN_PERIOD: Duration = Duration::from_millis(2_500);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
 
+/// Where the result of an operation is sent.
 #[derive(Debug, Clone)]
-struct Asker {
+struct ReplyTo {
     vm: VmName,
     operation: u64,
 }
 
+/// A proposed log entry whose result is not known yet.
 #[derive(Debug)]
-struct Proposed {
+struct PendingProposal {
     term: u64,
-    asker: Asker,
-    /// Set for a configuration.
+    reply_to: ReplyTo,
+    /// Set if the entry is a configuration change.
     submit: Option<Submit>,
 }
 
+/// What the leader knows of a daemon from its last poll.
 #[derive(Debug, Clone, Copy)]
-struct Daemon {
+struct DaemonState {
     version: u64,
-    heard: Instant,
+    last_poll: Instant,
     takes_callers: bool,
-    /// What it knows of suspects.
+    /// How current its copy of the suspects is.
     suspects: CopyState,
-    /// When its planned stop began, as far as known.
+    /// When it first reported its planned stop.
     stopping_since: Option<Instant>,
 }
 
-impl Daemon {
+impl DaemonState {
     fn is_live(&self, now: Instant) -> bool {
-        now.since(self.heard) < DAEMON_LIFE
+        now.since(self.last_poll) < DAEMON_TIMEOUT
     }
 }
 
-/// Writes, and what waits for them.
+/// A write to the log and the messages that may be sent once it is synced.
 #[derive(Debug, Default)]
-struct Batch {
+struct WriteBatch {
     persist: Persist,
     after: Vec<Outgoing>,
     synced: Synced,
@@ -80,30 +83,30 @@
 /// A control replica.
 pub(crate) struct ControlReplica {
     vm: VmName,
-    /// The VMs that found the group, the one that writes its first entry first; none where
-    /// this VM came later.
+    /// The VMs that bootstrap the replication group; the first one writes the first entry. Empty on a VM
+    /// that joins an existing group.
     founders: Vec<VmName>,
     max_voters: usize,
     replica: Replica,
     state: State,
     peers: ByVm<Peer>,
-    writing: Option<Batch>,
-    queued: Option<Batch>,
-    written: u64,
-    proposed: BTreeMap<u64, Proposed>,
-    submissions: VecDeque<(Asker, Submit)>,
-    polls: BTreeMap<u64, (VmName, Poll)>,
-    next_read: u64,
-    daemons: ByVm<Daemon>,
-    changes: Changes,
-    /// What daemons have asked for that is not accepted here yet.
-    fetches: ByVm<Fetch>,
+    write_in_progress: Option<WriteBatch>,
+    queued_write: Option<WriteBatch>,
+    last_write: u64,
+    proposals: BTreeMap<u64, PendingProposal>,
+    submissions: VecDeque<(ReplyTo, Submit)>,
+    pending_polls: BTreeMap<u64, (VmName, Poll)>,
+    last_read_token: u64,
+    daemons: ByVm<DaemonState>,
+    config_changes: ConfigChanges,
+    /// Fetches of versions that this replica has not applied yet; the latest of each daemon.
+    waiting_fetches: ByVm<Fetch>,
     dispatcher: Option<Dispatcher>,
-    suspects: Suspects,
+    suspect_coordinator: SuspectCoordinator,
     disabled: Disabled,
-    /// The engines that the scheduler may use.
+    /// Endpoints available to the scheduler.
     engines: Engines,
-    election: Duration,
+    election_timeout: Duration,
     log_bytes: usize,
     snapshot_bytes: usize,
     next_housekeeping: Instant,
@@ -124,36 +127,38 @@
             replica: Replica::new(id, timing, options.seed, restored, now),
             state: State::default(),
             peers: ByVm::new(),
-            writing: None,
-            queued: None,
-            written: 0,
-            proposed: BTreeMap::new(),
+            write_in_progress: None,
+            queued_write: None,
+            last_write: 0,
+            proposals: BTreeMap::new(),
             submissions: VecDeque::new(),
-            polls: BTreeMap::new(),
-            next_read: 0,
+            pending_polls: BTreeMap::new(),
+            last_read_token: 0,
             daemons: ByVm::new(),
-            changes: Changes::default(),
-            fetches: ByVm::new(),
+            config_changes: ConfigChanges::default(),
+            waiting_fetches: ByVm::new(),
             dispatcher: None,
-            suspects: Suspects::new(now),
+            suspect_coordinator: SuspectCoordinator::new(now),
             disabled: options.disabled,
             engines: Engines::default(),
-            election: timing.election,
+            election_timeout: timing.election,
             log_bytes: 0,
             snapshot_bytes: 0,
             next_housekeeping: now,
         }
     }
 
+    /// Whether this replica is the established leader.
     pub(crate) fn leads(&self) -> bool {
         self.dispatcher.is_some()
     }
 
-    /// What is accepted, as far as this replica knows.
+    /// The replicated state as applied by this replica.
     pub(crate) fn state(&self) -> &State {
         &self.state
     }
 
+    /// The scheduler, if this replica leads.
     pub(crate) fn scheduler(&self) -> Option<&Scheduler> {
         self.dispatcher.as_ref().map(Dispatcher::scheduler)
     }
@@ -162,7 +167,7 @@
         let next = self.replica.next_tick().min(self.next_housekeeping);
         let dispatcher = self.dispatcher.as_ref().and_then(Dispatcher::next_tick);
         let next = dispatcher.map_or(next, |at| at.min(next));
-        self.suspects.next_tick().map_or(next, |at| at.min(next))
+        self.suspect_coordinator.next_tick().map_or(next, |at| at.min(next))
     }
 
     pub(crate) fn link_up(&mut self, vm: &VmName, out: &mut Outbox) {
@@ -172,61 +177,62 @@
 
     pub(crate) fn link_down(&mut self, vm: &VmName, clocks: Clocks, out: &mut Outbox) {
         self.peers.remove(vm);
-        self.fetches.remove(vm);
+        self.waiting_fetches.remove(vm);
         if let Some(dispatcher) = &mut self.dispatcher {
             dispatcher.remove_daemon(vm, clocks.now, out);
         }
-        self.forget_trials(vm, clocks.now, out);
+        self.release_trials(vm, clocks.now, out);
     }
 
     pub(crate) fn tick(&mut self, clocks: Clocks, out: &mut Outbox) {
         self.replica.tick(clocks.now);
-        self.pump(clocks, out);
+        self.process_ready(clocks, out);
         let live = self.live_daemons(clocks.now);
         if let Some(dispatcher) = &mut self.dispatcher {
             dispatcher.tick(&live, clocks.now, out);
         }
         self.tick_suspects(clocks.now, out);
         if self.next_housekeeping <= clocks.now {
-            self.next_housekeeping = clocks.now.after(HOUSEKEEPING);
-            self.keep_members(clocks);
+            self.next_housekeeping = clocks.now.after(HOUSEKEEPING_INTERVAL);
+            self.maintain_membership(clocks);
             self.age_suspects(clocks);
-            self.pump(clocks, out);
+            self.process_ready(clocks, out);
         }
     }
 
-    /// Hands leadership over before a planned stop.
+    /// Transfers leadership to another replica before a planned stop.
     pub(crate) fn stop(&mut self, clocks: Clocks, out: &mut Outbox) {
         self.replica.hand_over(clocks.now);
-        self.pump(clocks, out);
+        self.process_ready(clocks, out);
     }
 
+    /// Handles the sync of the write with this number; see [`Output::Persist`](super::Output::Persist).
     pub(crate) fn persisted(&mut self, number: u64, clocks: Clocks, out: &mut Outbox) {
-        if number != self.written {
+        if number != self.last_write {
             return;
         }
-        let Some(batch) = self.writing.take() else { return };
-        self.release(batch, clocks.now, out);
-        self.pump(clocks, out);
+        let Some(batch) = self.write_in_progress.take() else { return };
+        self.complete_write(batch, clocks.now, out);
+        self.process_ready(clocks, out);
     }
 
     pub(crate) fn message(&mut self, from: &VmName, body: Body, clocks: Clocks, out: &mut Outbox) {
         match body {
             Body::Agreement(message) => {
                 self.replica.receive(message, clocks.now);
-                self.pump(clocks, out);
+                self.process_ready(clocks, out);
             }
             Body::ReplicaInfo(info) => {
                 self.peers.insert(from.clone(), Peer { id: info.replica, empty: info.empty });
-                self.keep_members(clocks);
-                self.pump(clocks, out);
+                self.maintain_membership(clocks);
+                self.process_ready(clocks, out);
             }
-            Body::Poll(poll) => self.poll(from, poll, clocks, out),
-            Body::Fetch(fetch) => self.fetch(from, fetch, clocks.now, out),
-            Body::Operation(operation) => self.operation(from, operation, clocks, out),
+            Body::Poll(poll) => self.on_poll(from, poll, clocks, out),
+            Body::Fetch(fetch) => self.on_fetch(from, fetch, clocks.now, out),
+            Body::Operation(operation) => self.on_operation(from, operation, clocks, out),
             Body::Admit(admit) => match &mut self.dispatcher {
                 Some(dispatcher) => dispatcher.admit(from, admit, clocks.now, out),
-                None => self.not_leader(from, None, out),
+                None => self.reply_not_leader(from, None, out),
             },
             Body::Progress(progress) => {
                 if let Some(dispatcher) = &mut self.dispatcher {
@@ -239,8 +245,8 @@
                     dispatcher.on_health(from, health, &live, clocks.now, out);
                 }
             }
-            Body::TrialAsk(ask) => self.trial_ask(from, &ask, clocks.now, out),
-            Body::TrialOver(over) => self.trial_over(from, over, clocks.now, out),
+            Body::TrialAsk(ask) => self.on_trial_ask(from, &ask, clocks.now, out),
+            Body::TrialOver(over) => self.on_trial_over(from, over, clocks.now, out),
             Body::LimitsRead(news) => {
                 if let Some(dispatcher) = &mut self.dispatcher {
                     dispatcher.on_rate_limits(news, clocks.now);
@@ -253,7 +259,7 @@
             }
             Body::PermitQuery(ask) => match &mut self.dispatcher {
                 Some(dispatcher) => dispatcher.on_permit_query(from, ask, clocks.now, out),
-                None => self.not_leader(from, None, out),
+                None => self.reply_not_leader(from, None, out),
             },
             Body::Moved(moved) => {
                 if let Some(dispatcher) = &mut self.dispatcher {
@@ -270,9 +276,10 @@
         }
     }
 
-    fn keep_members(&mut self, clocks: Clocks) {
+    /// Bootstraps the group, or proposes the next membership change if this replica leads.
+    fn maintain_membership(&mut self, clocks: Clocks) {
         if let Some(founders) =
-            members::founders(&self.vm, &self.founders, &self.replica, &self.peers)
+            members::bootstrap_membership(&self.vm, &self.founders, &self.replica, &self.peers)
         {
             self.replica.bootstrap(founders, clocks.wall);
             return;
@@ -281,15 +288,16 @@
             return;
         }
         let now = clocks.now;
-        let repair = members::repair(&self.vm, &self.replica, &self.peers, self.max_voters, now);
+        let repair =
+            members::repair_membership(&self.vm, &self.replica, &self.peers, self.max_voters, now);
         if let Some(membership) = repair {
-            // A change that is refused now is tried again at the next housekeeping.
+            // If rejected, the change is proposed again at the next housekeeping.
             let payload = Payload::Members(membership);
             let _ = self.replica.propose(payload, clocks.wall, clocks.now);
         }
     }
 
-    /// Takes the engines that the scheduler may use.
+    /// Updates the endpoints available to the scheduler.
     pub(crate) fn set_engines(&mut self, engines: Engines, now: Instant, out: &mut Outbox) {
         self.engines = engines;
         self.configure_dispatcher(now);
@@ -298,10 +306,10 @@
         }
     }
 
-    /// Forgets what runs of endpoints have said that are not there any more.
-    pub(crate) fn retain_runs(&mut self, is_there: impl Fn(&str, u64) -> bool, now: Instant) {
+    /// Drops what endpoint runs reported that no longer exist.
+    pub(crate) fn retain_runs(&mut self, exists: impl Fn(&str, u64) -> bool, now: Instant) {
         if let Some(dispatcher) = &mut self.dispatcher {
-            dispatcher.retain_runs(is_there, now);
+            dispatcher.retain_runs(exists, now);
         }
     }
 
@@ -311,6 +319,7 @@
         }
     }
 
+    /// VM of a replica: a linked peer, or a member of the group.
     fn vm_of(&self, id: ReplicaId) -> Option<VmName> {
         if id == self.replica.id() {
             return Some(self.vm.clone());
@@ -319,14 +328,14 @@
         peer.or_else(|| self.replica.membership().member(id).map(|m| m.vm.as_str().into()))
     }
 
-    /// The live daemons that callers are sent to.
-    fn entries(&self, now: Instant) -> EntryDaemons {
+    /// Counts the live daemons that load balancers send callers to.
+    fn count_entry_daemons(&self, now: Instant) -> EntryDaemons {
         let mut entries = EntryDaemons::default();
-        let sent_to = |daemon: &&Daemon| daemon.takes_callers && daemon.is_live(now);
-        for daemon in self.daemons.values().filter(sent_to) {
+        let receives_callers = |daemon: &&DaemonState| daemon.takes_callers && daemon.is_live(now);
+        for daemon in self.daemons.values().filter(receives_callers) {
             match daemon.stopping_since {
                 None => entries.accepting += 1,
-                Some(since) if now.since(since) < STILL_SENT_TO => entries.stopping += 1,
+                Some(since) if now.since(since) < DRAIN_PERIOD => entries.stopping += 1,
                 Some(_) => {}
             }
         }
--- a/crates/core/src/node/control/ready.rs
+++ b/crates/core/src/node/control/ready.rs
@@ -1,9 +1,9 @@
-//! Carries out what the replica hands out: messages, writes, committed entries, reads.
+//! Carries out the work that consensus hands out: messages, log writes, committed entries and reads.
 
 use super::{
-    Batch, ControlReplica, Proposed,
-    answers::{claim_reply, hall_reply, reply},
-    suspects::{Suspects, suspects_reply},
+    ControlReplica, PendingProposal, WriteBatch,
+    answers::{encode_claim_reply, encode_hall_reply, send_reply},
+    suspects::{SuspectCoordinator, encode_suspects_reply},
 };
 use crate::{
     agreement::{Entry, Outgoing, Persist, Ready, Snapshot, Synced},
@@ -13,11 +13,12 @@
     wire::{Body, Done, OperationResult, Update},
 };
 
-/// The log is compacted when its entries take this many bytes more than the snapshot.
-const COMPACT_BYTES: usize = 4 * 1024 * 1024;
+/// The log is compacted once it is this much larger than the last snapshot.
+const COMPACTION_THRESHOLD_BYTES: usize = 4 * 1024 * 1024;
 
 impl ControlReplica {
-    pub(super) fn pump(&mut self, clocks: Clocks, out: &mut Outbox) {
+    /// Processes the replica's work until none is left.
+    pub(super) fn process_ready(&mut self, clocks: Clocks, out: &mut Outbox) {
         loop {
             let ready = self.replica.take_ready();
             let idle = ready.messages.is_empty()
@@ -27,66 +28,65 @@
                 && ready.committed.is_empty()
                 && ready.reads.is_empty()
                 && ready.failed_reads.is_empty();
-            self.judge_leadership(clocks.now, out);
-            if idle && (self.writing.is_some() || self.queued.is_none()) {
+            self.update_leadership(clocks.now, out);
+            if idle && (self.write_in_progress.is_some() || self.queued_write.is_none()) {
                 return;
             }
-            self.take(ready, clocks, out);
+            self.handle_ready(ready, clocks, out);
         }
     }
 
-    fn take(&mut self, ready: Ready, clocks: Clocks, out: &mut Outbox) {
-        self.send_all(ready.messages, out);
-        self.queue(ready.persist, ready.messages_after_persist, ready.synced);
+    fn handle_ready(&mut self, ready: Ready, clocks: Clocks, out: &mut Outbox) {
+        self.send_messages(ready.messages, out);
+        self.queue_write(ready.persist, ready.messages_after_persist, ready.synced);
         if let Some(snapshot) = ready.install {
-            self.install(&snapshot, clocks.now, out);
+            self.install_snapshot(&snapshot, clocks.now, out);
         }
         for entry in ready.committed {
-            self.apply(entry, clocks, out);
+            self.apply_entry(entry, clocks, out);
         }
         for read in ready.reads {
             self.answer_poll(read, clocks.now, out);
         }
         for token in ready.failed_reads {
-            if let Some((vm, _)) = self.polls.remove(&token) {
-                self.not_leader(&vm, None, out);
+            if let Some((vm, _)) = self.pending_polls.remove(&token) {
+                self.reply_not_leader(&vm, None, out);
             }
         }
         self.write_next(clocks.now, out);
         self.compact_if_due();
     }
 
-    fn queue(&mut self, persist: Persist, after: Vec<Outgoing>, synced: Synced) {
+    fn queue_write(&mut self, persist: Persist, after: Vec<Outgoing>, synced: Synced) {
         if persist.is_empty() && after.is_empty() {
             return;
         }
-        let batch = self.queued.get_or_insert_with(Batch::default);
+        let batch = self.queued_write.get_or_insert_with(WriteBatch::default);
         batch.persist.extend(persist);
         batch.after.extend(after);
         batch.synced = synced;
     }
 
-    /// Starts the next write, unless one is on its way; all that queues up meanwhile shares
-    /// the next sync.
+    /// Starts the queued write unless one is in progress. Writes queued meanwhile share one sync.
     fn write_next(&mut self, now: Instant, out: &mut Outbox) {
-        while self.writing.is_none() {
-            let Some(mut batch) = self.queued.take() else { return };
+        while self.write_in_progress.is_none() {
+            let Some(mut batch) = self.queued_write.take() else { return };
             if batch.persist.is_empty() {
-                self.release(batch, now, out);
+                self.complete_write(batch, now, out);
                 continue;
             }
-            self.written += 1;
-            out.push(Output::Persist(self.written, std::mem::take(&mut batch.persist)));
-            self.writing = Some(batch);
+            self.last_write += 1;
+            out.push(Output::Persist(self.last_write, std::mem::take(&mut batch.persist)));
+            self.write_in_progress = Some(batch);
         }
     }
 
-    pub(super) fn release(&mut self, batch: Batch, now: Instant, out: &mut Outbox) {
-        self.send_all(batch.after, out);
+    pub(super) fn complete_write(&mut self, batch: WriteBatch, now: Instant, out: &mut Outbox) {
+        self.send_messages(batch.after, out);
         self.replica.persisted(batch.synced, now);
     }
 
-    fn send_all(&self, messages: Vec<Outgoing>, out: &mut Outbox) {
+    fn send_messages(&self, messages: Vec<Outgoing>, out: &mut Outbox) {
         for Outgoing { to, message } in messages {
             if let Some(vm) = self.vm_of(to) {
                 out.send(&vm, Body::Agreement(message));
@@ -94,71 +94,78 @@
         }
     }
 
-    fn install(&mut self, snapshot: &Snapshot, now: Instant, out: &mut Outbox) {
+    fn install_snapshot(&mut self, snapshot: &Snapshot, now: Instant, out: &mut Outbox) {
         self.snapshot_bytes = snapshot.data.len();
         self.log_bytes = 0;
-        // A snapshot that passed its checksum and cannot be read was written by a newer release.
+        // The checksum matched, so an unreadable snapshot comes from a newer release.
         let state = State::decode(snapshot.data.clone());
-        self.state = state.expect("a snapshot of a newer release: update this daemon");
-        self.answer_fetches(now, out);
+        self.state = state.expect("snapshot was written by a newer release: upgrade this daemon");
+        self.answer_waiting_fetches(now, out);
     }
 
-    fn apply(&mut self, entry: Entry, clocks: Clocks, out: &mut Outbox) {
-        /// Bytes of an entry on disk beside its command.
+    fn apply_entry(&mut self, entry: Entry, clocks: Clocks, out: &mut Outbox) {
+        /// Bytes of an entry on disk in addition to its command.
         const ENTRY_OVERHEAD: usize = 64;
         let bytes = entry.payload_bytes() + ENTRY_OVERHEAD;
         self.log_bytes += bytes;
         let applied = match self.state.apply(&entry) {
             Applied::Accepted(change) => {
-                self.accepted(*change, bytes, clocks.now, out);
+                self.on_config_accepted(*change, bytes, clocks.now, out);
                 Applied::Config(ConfigResult::Accepted)
             }
             Applied::Hall(HallResult::Done) => {
-                self.tell_halls_out(out);
+                self.broadcast_halls_out(out);
                 Applied::Hall(HallResult::Done)
             }
             Applied::Suspects(change) => {
-                self.suspects_changed(&change, clocks.now, out);
+                self.on_suspects_changed(&change, clocks.now, out);
                 Applied::Suspects(change)
             }
             applied => applied,
         };
-        let proposed = self.proposed.remove(&entry.index);
-        let Some(Proposed { term, asker, submit }) = proposed else { return };
+        let proposal = self.proposals.remove(&entry.index);
+        let Some(PendingProposal { term, reply_to, submit }) = proposal else { return };
         if term != entry.term {
-            return self.not_leader(&asker.vm, Some(asker.operation), out);
+            return self.reply_not_leader(&reply_to.vm, Some(reply_to.operation), out);
         }
         let result = match (applied, submit) {
             (Applied::Config(result), Some(submit)) => self.config_result(&submit, result),
-            (Applied::Claim(result), _) => OperationResult::Claim(claim_reply(result)),
-            (Applied::Hall(result), _) => OperationResult::Hall(hall_reply(result)),
-            (Applied::Suspects(change), _) => OperationResult::Suspects(suspects_reply(&change)),
+            (Applied::Claim(result), _) => OperationResult::Claim(encode_claim_reply(result)),
+            (Applied::Hall(result), _) => OperationResult::Hall(encode_hall_reply(result)),
+            (Applied::Suspects(change), _) => {
+                OperationResult::Suspects(encode_suspects_reply(&change))
+            }
             _ => OperationResult::Settled(Done {}),
         };
-        reply(&asker, result, out);
-        self.next_submission(clocks, out);
+        send_reply(&reply_to, result, out);
+        self.propose_next_submission(clocks, out);
     }
 
-    /// The leader tells every daemon of an accepted configuration at once, and what it changes if
-    /// that is small. Daemons fetch what is large, each from a control VM of its own choice and as
-    /// fast as it can: sent to all at once by the leader, 645 kB for 63 daemons stood before its
-    /// heartbeats and their grants for half a second and more.
-    fn accepted(&mut self, change: AcceptedChange, bytes: usize, now: Instant, out: &mut Outbox) {
+    /// Announces an accepted configuration to every daemon, with its delta if that fits in one piece.
+    /// Daemons fetch larger deltas themselves, so that they do not delay heartbeats and grants on the
+    /// leader's links.
+    fn on_config_accepted(
+        &mut self,
+        change: AcceptedChange,
+        bytes: usize,
+        now: Instant,
+        out: &mut Outbox,
+    ) {
         let id = change.id.clone();
-        self.changes.push(change, bytes);
+        self.config_changes.push(change, bytes);
         if self.leads() {
-            let update = Update { change: id, delta: self.changes.latest_if_small() };
+            let update = Update { change: id, delta: self.config_changes.latest_if_small() };
             for vm in self.daemons.keys() {
                 out.send(vm, Body::Update(update.clone()));
             }
             out.push(Output::SentChange(SentChange::pushed(&update, self.daemons.len())));
         }
-        self.answer_fetches(now, out);
+        self.answer_waiting_fetches(now, out);
     }
 
-    /// The leader tells every daemon at once which data halls are out of service; its answers to
-    /// polls tell those that the message does not reach.
-    fn tell_halls_out(&self, out: &mut Outbox) {
+    /// Sends every daemon the data halls that are out of service. Poll replies repeat them in case the
+    /// message is lost.
+    fn broadcast_halls_out(&self, out: &mut Outbox) {
         if !self.leads() {
             return;
         }
@@ -167,29 +174,31 @@
         }
     }
 
-    fn judge_leadership(&mut self, now: Instant, out: &mut Outbox) {
+    /// Starts the scheduler when this replica becomes leader and fails pending requests when it steps
+    /// down.
+    fn update_leadership(&mut self, now: Instant, out: &mut Outbox) {
         let leads = self.replica.is_established();
         if leads == self.dispatcher.is_some() {
             return;
         }
         if leads {
             self.dispatcher = Some(Dispatcher::new(self.disabled, now));
-            self.suspects = Suspects::new(now);
+            self.suspect_coordinator = SuspectCoordinator::new(now);
             self.configure_dispatcher(now);
             return;
         }
         self.dispatcher = None;
         self.daemons.clear();
-        let proposed = std::mem::take(&mut self.proposed);
+        let proposals = std::mem::take(&mut self.proposals);
         let submissions = std::mem::take(&mut self.submissions);
-        let askers = proposed.into_values().map(|p| p.asker);
-        for asker in askers.chain(submissions.into_iter().map(|(asker, _)| asker)) {
-            self.not_leader(&asker.vm, Some(asker.operation), out);
+        let waiting = proposals.into_values().map(|proposal| proposal.reply_to);
+        for reply_to in waiting.chain(submissions.into_iter().map(|(reply_to, _)| reply_to)) {
+            self.reply_not_leader(&reply_to.vm, Some(reply_to.operation), out);
         }
     }
 
     fn compact_if_due(&mut self) {
-        if self.log_bytes < self.snapshot_bytes + COMPACT_BYTES {
+        if self.log_bytes < self.snapshot_bytes + COMPACTION_THRESHOLD_BYTES {
             return;
         }
         let data = self.state.encode();
--- a/crates/core/src/node/control/status.rs
+++ b/crates/core/src/node/control/status.rs
@@ -1,6 +1,6 @@
-//! What a control replica tells operators.
+//! Status of the control replicas for operators.
 
-use super::{ControlReplica, Daemon};
+use super::{ControlReplica, DaemonState};
 use crate::{agreement::ReplicaId, node::VmName, units::Instant};
 
 /// State of one control replica, as the leader sees it.
@@ -8,13 +8,13 @@
 pub struct ReplicaStatus {
     /// Name of its VM.
     pub vm: String,
-    /// The replica.
+    /// Replica id in hexadecimal.
     pub id: String,
     /// Whether it votes.
     pub voter: bool,
     /// Whether it leads.
     pub leader: bool,
-    /// Whether it answered lately and has synced nearly all of the log.
+    /// Whether it is linked, answered recently and has synced nearly all of the log. Known to the leader only.
     pub sound: bool,
 }
 
@@ -23,7 +23,7 @@
 pub struct DaemonStatus {
     /// Name of its VM.
     pub vm: String,
-    /// The version in force there.
+    /// Version of its active configuration.
     pub version: u64,
     /// Time since its last poll in milliseconds.
     pub silent_ms: u64,
@@ -38,15 +38,15 @@
     pub leads: bool,
     /// VM of the leader, if known.
     pub leader: Option<String>,
-    /// Its term.
+    /// The replica's current term.
     pub term: u64,
-    /// Index up to which its log is committed.
+    /// The replica's commit index.
     pub commit: u64,
-    /// The accepted version.
+    /// Accepted version of the configuration.
     pub version: u64,
     /// The data halls that are out of service.
     pub halls_out: Vec<String>,
-    /// Number of claims kept.
+    /// Number of stored claims.
     pub claims: usize,
     /// Whether the loss of any one more voter leaves a quorum. Known to the leader only.
     pub survives_next_loss: bool,
@@ -57,7 +57,7 @@
 }
 
 impl ControlReplica {
-    /// The state as this replica sees it.
+    /// Status of the control replicas as seen by this one.
     pub(crate) fn status(&self, now: Instant) -> ControlStatus {
         let leader = self.replica.leader().and_then(|id| self.vm_of(id));
         let leads = self.leads();
@@ -71,16 +71,16 @@
                 id: format!("{:016x}", member.id),
                 voter: member.voter,
                 leader: self.replica.leader() == Some(member.id),
-                sound: leads && self.is_sound(member.id, now),
+                sound: leads && self.is_healthy(member.id, now),
             })
             .collect();
-        let sound_voters = replicas.iter().filter(|r| r.voter && r.sound).count();
+        let healthy_voters = replicas.iter().filter(|r| r.voter && r.sound).count();
         let quorum = self.replica.membership().quorum();
         let settled = self.replica.membership_settled();
-        let daemon = |(vm, daemon): (&VmName, &Daemon)| DaemonStatus {
+        let daemon = |(vm, daemon): (&VmName, &DaemonState)| DaemonStatus {
             vm: vm.to_string(),
             version: daemon.version,
-            silent_ms: now.since(daemon.heard).as_millis() as u64,
+            silent_ms: now.since(daemon.last_poll).as_millis() as u64,
         };
         ControlStatus {
             replica: true,
@@ -91,18 +91,19 @@
             version: self.state.version(),
             halls_out: self.state.halls_out().names.clone(),
             claims: self.state.claims().len(),
-            survives_next_loss: leads && settled && quorum < sound_voters,
+            survives_next_loss: leads && settled && quorum < healthy_voters,
             replicas,
             daemons: self.daemons.iter().map(daemon).collect(),
         }
     }
 
-    /// Whether a replica, and not only its VM, is linked, answers and has the log.
-    fn is_sound(&self, id: ReplicaId, now: Instant) -> bool {
-        const SLACK: u64 = 64;
+    /// Whether a replica is linked, answers and has nearly all of the log. A VM that lost its disk runs another replica.
+    fn is_healthy(&self, id: ReplicaId, now: Instant) -> bool {
+        /// Entries that a healthy replica may lack.
+        const MAX_LAG: u64 = 64;
         id == self.replica.id()
             || (self.peers.values().any(|peer| peer.id == id)
-                && self.replica.is_caught_up(id, SLACK)
-                && self.replica.heard_within(id, self.election, now))
+                && self.replica.is_caught_up(id, MAX_LAG)
+                && self.replica.heard_within(id, self.election_timeout, now))
     }
 }
--- a/crates/core/src/node/control/suspects.rs
+++ b/crates/core/src/node/control/suspects.rs
@@ -1,4 +1,4 @@
-//! What the leader does about suspects: tells daemons of them, and lets one try of each run at a time.
+//! Suspects on the leader: replicates them to daemons and permits one trial of each at a time.
 
 use super::ControlReplica;
 use crate::{
@@ -10,73 +10,77 @@
     wire::{Body, SuspectNews, SuspectsReply, TrialAsk, TrialOver, TrialReply, TrialStatus},
 };
 
-/// The leader's soft state about suspects.
+/// Trials and pending announcements of suspects; not replicated, lost when the leader changes.
 #[derive(Debug)]
-pub(super) struct Suspects {
+pub(super) struct SuspectCoordinator {
     trials: Trials,
-    /// When daemons are next told what has changed, if anything has.
-    tell: Option<Instant>,
-    /// When they were last told.
-    told: Instant,
-    /// When tries that wait are next looked at, while the leader only listens.
-    decide: Option<Instant>,
+    /// When changes are next sent to daemons, if there are any.
+    next_broadcast: Option<Instant>,
+    last_broadcast: Instant,
+    /// When waiting trials are next reconsidered; a new leader first collects the trials in progress.
+    next_decision: Option<Instant>,
 }
 
-impl Suspects {
-    pub(super) fn new(now: Instant) -> Suspects {
-        Suspects { trials: Trials::new(now), tell: None, told: Instant::default(), decide: None }
+impl SuspectCoordinator {
+    pub(super) fn new(now: Instant) -> SuspectCoordinator {
+        SuspectCoordinator {
+            trials: Trials::new(now),
+            next_broadcast: None,
+            last_broadcast: Instant::default(),
+            next_decision: None,
+        }
     }
 
     pub(super) fn next_tick(&self) -> Option<Instant> {
-        self.tell.into_iter().chain(self.decide).min()
+        self.next_broadcast.into_iter().chain(self.next_decision).min()
     }
 }
 
 impl ControlReplica {
-    /// What a daemon lacks of the suspects.
-    pub(super) fn suspects_news_for(&self, vm: &VmName) -> Option<SuspectNews> {
+    /// The changes of suspects that a daemon does not have yet.
+    pub(super) fn suspect_news_for(&self, vm: &VmName) -> Option<SuspectNews> {
         let copy = self.daemons.get(vm)?.suspects;
         let news = self.state.suspects().news(copy);
         let is_news = news.reset || copy.known < news.up_to || copy.filling;
         is_news.then_some(news)
     }
 
-    /// Daemons are told of a change at once, but of many changes together: an endpoint's end is told by
-    /// each daemon that had a request there, and a data hall's by all.
-    pub(super) fn suspects_changed(&mut self, change: &Change, now: Instant, out: &mut Outbox) {
+    /// Schedules an announcement to the daemons. Changes in quick succession are sent together, since
+    /// every daemon with a request at a failed endpoint reports it.
+    pub(super) fn on_suspects_changed(&mut self, change: &Change, now: Instant, out: &mut Outbox) {
         if self.leads() {
             if let Some(suspect) = &change.changed {
                 out.push(Output::Suspect(suspect.clone()));
             }
             let pause =
                 news_batch::scaled(news_batch::SEND_INTERVAL_PER_DAEMON, self.daemons.len());
-            let due = now.max(self.suspects.told.after(pause));
-            self.suspects.tell.get_or_insert(due);
+            let due = now.max(self.suspect_coordinator.last_broadcast.after(pause));
+            self.suspect_coordinator.next_broadcast.get_or_insert(due);
             self.tick_suspects(now, out);
             self.decide_trials(now, out);
         }
     }
 
-    /// Tells daemons what has changed, if it is time.
+    /// Sends due changes to the daemons and reconsiders waiting trials.
     pub(super) fn tick_suspects(&mut self, now: Instant, out: &mut Outbox) {
-        if self.suspects.decide.take_if(|at| *at <= now).is_some() {
+        if self.suspect_coordinator.next_decision.take_if(|at| *at <= now).is_some() {
             self.decide_trials(now, out);
         }
-        if self.suspects.tell.take_if(|at| *at <= now).is_none() {
+        if self.suspect_coordinator.next_broadcast.take_if(|at| *at <= now).is_none() {
             return;
         }
-        self.suspects.told = now;
+        self.suspect_coordinator.last_broadcast = now;
         for (vm, daemon) in &mut self.daemons {
             let news = self.state.suspects().news(daemon.suspects);
             if news.reset || daemon.suspects.known < news.up_to {
-                // One that does not arrive is told again with the answer to the next poll.
+                // If the message is lost, the next poll reply repeats the change.
                 daemon.suspects.known = news.up_to;
                 out.send(vm, Body::Suspects(news));
             }
         }
     }
 
-    /// Lets what is known of suspects age once that changes anything.
+    /// Proposes an ageing step for the suspects when one is due.
     pub(super) fn age_suspects(&mut self, clocks: Clocks) {
         if self.replica.role() != Role::Leader {
             return;
@@ -84,12 +88,12 @@
         let due = self.state.suspects().next_ageing();
         if due.is_some_and(|due| due <= clocks.wall) {
             let payload = Command::payload(command::Kind::Age(AgeSuspects {}));
-            // One that is refused now is proposed again at the next housekeeping.
+            // If rejected, it is proposed again at the next housekeeping.
             let _ = self.replica.propose(payload, clocks.wall, clocks.now);
         }
     }
 
-    pub(super) fn trial_ask(
+    pub(super) fn on_trial_ask(
         &mut self,
         from: &VmName,
         ask: &TrialAsk,
@@ -97,33 +101,34 @@
         out: &mut Outbox,
     ) {
         if !self.leads() {
-            return self.not_leader(from, None, out);
+            return self.reply_not_leader(from, None, out);
         }
         let Some(request) = RequestDigest::from_slice(&ask.request) else { return };
         let asker = Asker { vm: from.clone(), number: ask.number };
         if ask.runs {
-            return self.suspects.trials.adopt(request, asker);
+            return self.suspect_coordinator.trials.adopt(request, asker);
         }
         let standing = Standing { ended: ask.ended, in_trials: 0 };
-        if let Some(refused) = self.suspects.trials.ask(request, asker.clone(), standing) {
-            return tell(asker, refused, out);
+        if let Some(refused) = self.suspect_coordinator.trials.ask(request, asker.clone(), standing)
+        {
+            return send_permission(asker, refused, out);
         }
         self.decide_trials(now, out);
     }
 
-    pub(super) fn trial_over(
+    pub(super) fn on_trial_over(
         &mut self,
         from: &VmName,
         over: TrialOver,
         now: Instant,
         out: &mut Outbox,
     ) {
-        self.suspects.trials.over(&Asker { vm: from.clone(), number: over.number });
+        self.suspect_coordinator.trials.over(&Asker { vm: from.clone(), number: over.number });
         self.decide_trials(now, out);
     }
 
-    pub(super) fn forget_trials(&mut self, vm: &VmName, now: Instant, out: &mut Outbox) {
-        self.suspects.trials.forget(vm);
+    pub(super) fn release_trials(&mut self, vm: &VmName, now: Instant, out: &mut Outbox) {
+        self.suspect_coordinator.trials.forget(vm);
         self.decide_trials(now, out);
     }
 
@@ -131,14 +136,16 @@
         if !self.leads() {
             return;
         }
-        for (asker, permission) in self.suspects.trials.decide(self.state.suspects(), now) {
-            tell(asker, permission, out);
+        for (asker, permission) in
+            self.suspect_coordinator.trials.decide(self.state.suspects(), now)
+        {
+            send_permission(asker, permission, out);
         }
-        self.suspects.decide = self.suspects.trials.next_decision(now);
+        self.suspect_coordinator.next_decision = self.suspect_coordinator.trials.next_decision(now);
     }
 }
 
-fn tell(asker: Asker, permission: Permission, out: &mut Outbox) {
+fn send_permission(asker: Asker, permission: Permission, out: &mut Outbox) {
     let (status, apart) = match permission {
         Permission::Granted { apart } => (TrialStatus::Granted, apart),
         Permission::Quarantined => (TrialStatus::Quarantined, false),
@@ -149,6 +156,6 @@
     out.send(&asker.vm, Body::TrialReply(reply));
 }
 
-pub(super) fn suspects_reply(change: &Change) -> SuspectsReply {
+pub(super) fn encode_suspects_reply(change: &Change) -> SuspectsReply {
     SuspectsReply { number: change.number, changed: change.changed.is_some() }
 }
--- a/crates/core/src/node/control_client/mod.rs
+++ b/crates/core/src/node/control_client/mod.rs
@@ -231,7 +231,7 @@
 
     pub(crate) fn link_down(&mut self, vm: &VmName, now: Instant, out: &mut Outbox) {
         self.sources.links.remove(vm);
-        self.config_store.source_lost(vm, &self.sources, now, out);
+        self.config_store.on_source_lost(vm, &self.sources, now, out);
         if self.leader().is_some_and(|leader| leader == vm) {
             self.set_leader(None);
         }
@@ -290,7 +290,7 @@
         let current = VersionHash { version: reply.version, hash };
         self.vouched = Some(Vouched { current, asked: sent });
         self.update_halls_out(&reply.halls.unwrap_or_default(), out);
-        self.config_store.confirmed_current(current.version);
+        self.config_store.on_version_confirmed(current.version);
         self.config_store.fetch_if_missing(&self.sources, now, out);
         self.confirm(now, out);
     }
--- a/crates/core/src/node/members.rs
+++ b/crates/core/src/node/members.rs
@@ -9,12 +9,12 @@
 };
 
 /// A learner may vote once it lacks no more than this many entries.
-const SLACK: u64 = 64;
+const MAX_LEARNER_LAG: u64 = 64;
 /// A voter that was silent for this long gives its place to a learner that stands by. Longer
 /// than any pause of a healthy VM, shorter than the time in which a second one may be lost.
-const REPLACE_AFTER: Duration = Duration::from_secs(3);
+const REPLACE_SILENT_VOTER_AFTER: Duration = Duration::from_secs(3);
 /// A learner that was silent for this long is no longer sent the log.
-const DROP_LEARNER_AFTER: Duration = Duration::from_secs(10);
+const DROP_SILENT_LEARNER_AFTER: Duration = Duration::from_secs(10);
 
 /// What another control VM said of its replica.
 #[derive(Debug, Clone, Copy)]
@@ -26,7 +26,7 @@
 /// The first members, if this replica may found the group now: it is the first that is
 /// listed, and every listed replica is linked and empty. A first VM that lost its disk finds
 /// another that is not empty, or cannot reach one, and founds nothing.
-pub(crate) fn founders(
+pub(crate) fn bootstrap_membership(
     vm: &VmName,
     listed: &[VmName],
     replica: &Replica,
@@ -49,7 +49,7 @@
 /// learns, then the replica that is gone is removed, then the new one votes. Once there are
 /// enough voters, a learner takes the place of one that has fallen silent. Each is a change of
 /// its own.
-pub(crate) fn repair(
+pub(crate) fn repair_membership(
     own: &VmName,
     replica: &Replica,
     peers: &ByVm<Peer>,
@@ -66,7 +66,7 @@
     }
     for (vm, peer) in linked() {
         let is_learner = !membership.is_voter(peer.id);
-        if !is_learner || !replica.is_caught_up(peer.id, SLACK) {
+        if !is_learner || !replica.is_caught_up(peer.id, MAX_LEARNER_LAG) {
             continue;
         }
         let former = |m: &Member| m.vm == **vm && m.id != peer.id;
@@ -79,7 +79,9 @@
             member.voter = true;
             return Some(changed);
         }
-        let silent = membership.voters().find(|id| !replica.heard_within(*id, REPLACE_AFTER, now));
+        let silent = membership
+            .voters()
+            .find(|id| !replica.heard_within(*id, REPLACE_SILENT_VOTER_AFTER, now));
         if let Some(silent) = silent {
             changed.members.retain(|m| m.id != silent);
             return Some(changed);
@@ -87,7 +89,7 @@
     }
     let dropped = |m: &Member| {
         let is_linked = linked().any(|(_, peer)| peer.id == m.id);
-        !m.voter && !is_linked && !replica.heard_within(m.id, DROP_LEARNER_AFTER, now)
+        !m.voter && !is_linked && !replica.heard_within(m.id, DROP_SILENT_LEARNER_AFTER, now)
     };
     if changed.members.iter().any(dropped) {
         changed.members.retain(|m| !dropped(m));
--- a/crates/core/src/node/members_tests.rs
+++ b/crates/core/src/node/members_tests.rs
@@ -6,7 +6,7 @@
 
 use super::{
     ByVm, VmName,
-    members::{Peer, founders, repair},
+    members::{Peer, bootstrap_membership, repair_membership},
 };
 use crate::{
     agreement::{Member, Membership, Replica, ReplicaId, Restored, Synced, Timing},
@@ -67,7 +67,7 @@
     let seeds = [vm(1), vm(2), vm(3)];
     let all = peers(&[(2, 2, true), (3, 3, true)]);
 
-    let founded = founders(&vm(1), &seeds, &empty_replica(1), &all).unwrap();
+    let founded = bootstrap_membership(&vm(1), &seeds, &empty_replica(1), &all).unwrap();
 
     expect_that!(founded.voters().count(), eq(3));
 }
@@ -79,23 +79,24 @@
     let wiped = peers(&[(2, 2, true), (3, 3, false)]);
     let all = peers(&[(2, 2, true), (3, 3, true)]);
 
-    expect_that!(founders(&vm(1), &seeds, &empty_replica(1), &missing), none());
-    expect_that!(founders(&vm(1), &seeds, &empty_replica(1), &wiped), none());
-    expect_that!(founders(&vm(2), &seeds, &empty_replica(2), &all), none());
+    expect_that!(bootstrap_membership(&vm(1), &seeds, &empty_replica(1), &missing), none());
+    expect_that!(bootstrap_membership(&vm(1), &seeds, &empty_replica(1), &wiped), none());
+    expect_that!(bootstrap_membership(&vm(2), &seeds, &empty_replica(2), &all), none());
 }
 
 #[gtest]
 fn a_vm_that_came_later_founds_nothing() {
     let all = peers(&[(2, 2, true), (3, 3, true)]);
 
-    expect_that!(founders(&vm(1), &[], &empty_replica(1), &all), none());
+    expect_that!(bootstrap_membership(&vm(1), &[], &empty_replica(1), &all), none());
 }
 
 #[gtest]
 fn a_new_control_vm_learns_first() {
     let replica = leader(&[]);
 
-    let next = repair(&vm(1), &replica, &peers(&[(2, 2, true)]), 5, Instant(1_000_000)).unwrap();
+    let next = repair_membership(&vm(1), &replica, &peers(&[(2, 2, true)]), 5, Instant(1_000_000))
+        .unwrap();
 
     expect_that!(next.is_voter(2), eq(false));
     expect_that!(next.member(2), some(anything()));
@@ -107,7 +108,7 @@
     let linked = peers(&[(2, 2, true)]);
 
     // The log is shorter than what a learner may lack.
-    let next = repair(&vm(1), &replica, &linked, 5, Instant(1_000_000)).unwrap();
+    let next = repair_membership(&vm(1), &replica, &linked, 5, Instant(1_000_000)).unwrap();
 
     expect_that!(next.is_voter(2), eq(true));
 }
@@ -117,7 +118,7 @@
     let replica = leader(&[(2, 2, true), (2, 22, false)]);
     let linked = peers(&[(2, 22, true)]);
 
-    let next = repair(&vm(1), &replica, &linked, 5, Instant(1_000_000)).unwrap();
+    let next = repair_membership(&vm(1), &replica, &linked, 5, Instant(1_000_000)).unwrap();
 
     expect_that!(next.member(2), none());
     expect_that!(next.is_voter(22), eq(false));
@@ -128,7 +129,7 @@
     let replica = leader(&[(2, 2, false)]);
     let linked = peers(&[(2, 2, true)]);
 
-    let next = repair(&vm(1), &replica, &linked, 1, Instant(1_000_000));
+    let next = repair_membership(&vm(1), &replica, &linked, 1, Instant(1_000_000));
 
     expect_that!(next, none());
 }
@@ -137,8 +138,8 @@
 fn a_learner_that_is_gone_is_dropped() {
     let replica = leader(&[(2, 2, false)]);
 
-    let soon = repair(&vm(1), &replica, &peers(&[]), 5, Instant(2_000_000));
-    let later = repair(&vm(1), &replica, &peers(&[]), 5, Instant(60_000_000));
+    let soon = repair_membership(&vm(1), &replica, &peers(&[]), 5, Instant(2_000_000));
+    let later = repair_membership(&vm(1), &replica, &peers(&[]), 5, Instant(60_000_000));
 
     expect_that!(soon, none());
     expect_that!(later, some(field!(Membership.members, len(eq(1)))));
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -22,9 +22,10 @@
 
 mod admit;
 mod broadcast;
-mod changes;
+mod config_changes;
 #[cfg(test)]
-mod changes_tests;
+mod config_changes_tests;
+mod config_fetch;
 mod config_store;
 #[cfg(test)]
 mod config_store_tests;
@@ -40,7 +41,6 @@
 mod endpoints;
 mod engines;
 mod failed_attempt;
-mod fetching;
 mod inputs;
 mod members;
 #[cfg(test)]
--- a/crates/core/src/node/tests/net/fixture.rs
+++ b/crates/core/src/node/tests/net/fixture.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     config::{EndpointTarget, key_digest},
-    node::changes::PIECE_BYTES,
+    node::config_changes::PIECE_BYTES,
     placement::{PrefixHash, Request, Ticket},
 };
 
