--- a/crates/core/src/node/dispatcher.rs
+++ b/crates/core/src/node/dispatcher.rs
@@ -1,7 +1,7 @@
-//! The scheduler that the leader runs for all daemons.
+//! The scheduler that the leader runs for the requests of all daemons.
 //!
-//! Its state is soft. A new leader waits a moment for the daemons to tell what
-//! runs and what waits before it grants anything.
+//! Its state is not replicated: a new leader rebuilds it from the daemons, which resend their running
+//! and waiting requests, and grants nothing until [`RECOVERY_TIME`] has passed.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,54 +24,56 @@
     },
 };
 
-/// Time in which a new leader only listens.
-const LISTEN: Duration = Duration::from_millis(300);
+/// Time in which a new leader collects the state of the daemons before it grants anything.
+const RECOVERY_TIME: Duration = Duration::from_millis(300);
 
-/// Slow endpoints that an answer to a daemon names: 80 bytes, 0.3 kB/s for each daemon, which hears of
-/// 600 within 40 s.
-const SLOW_AT_ONCE: usize = 4;
-/// They are looked for this often, among all endpoints.
-const LOOK_FOR_SLOW: Duration = Duration::from_millis(500);
+/// Slow endpoints in one poll reply, about 80 bytes.
+const SLOW_PER_POLL_REPLY: usize = 4;
+/// Interval between scans of all endpoints for slow ones.
+const SLOW_SCAN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The scheduler of all daemons.
+/// Schedules the requests of all daemons.
 pub(crate) struct Dispatcher {
     scheduler: Scheduler,
-    open_at: Instant,
-    numbers: ByVm<u64>,
-    names: BTreeMap<u64, VmName>,
+    /// Nothing is granted before this.
+    ready_at: Instant,
+    /// Numbers by which tickets identify daemons.
+    daemon_numbers: ByVm<u64>,
+    daemon_names: BTreeMap<u64, VmName>,
+    /// Endpoints that are leaving, and since when that is known.
     leaving: BTreeMap<Arc<str>, Instant>,
     endpoints: Vec<String>,
+    /// Endpoints whose load each daemon polls.
     watches: ByVm<Vec<String>>,
-    /// Whether the endpoints have changed since they were assigned.
-    must_assign: bool,
-    slow: SlowOnes,
+    /// Whether the endpoints have changed since the watches were assigned.
+    watches_outdated: bool,
+    slow: SlowEndpoints,
     permits: PermitAllocator,
-    /// Endpoints that reject requests, of which daemons are to be told.
+    /// Endpoints that reject requests, to be broadcast to the daemons.
     overloaded: Broadcast,
 }
 
-/// The endpoints that are slower than others, as they were when last looked for.
+/// Endpoints that are slower than others, as of the last scan.
 #[derive(Debug, Default)]
-struct SlowOnes {
+struct SlowEndpoints {
     found: Vec<SlowEndpoint>,
-    /// The one that is told next.
+    /// Index of the first endpoint in the next poll reply.
     next: usize,
-    /// They are looked for again after this.
-    look: Instant,
+    next_scan: Instant,
 }
 
 impl Dispatcher {
     pub(crate) fn new(disabled: Disabled, now: Instant) -> Dispatcher {
         Dispatcher {
             scheduler: Scheduler::by_forecast(disabled),
-            open_at: now.after(LISTEN),
-            numbers: ByVm::new(),
-            names: BTreeMap::new(),
+            ready_at: now.after(RECOVERY_TIME),
+            daemon_numbers: ByVm::new(),
+            daemon_names: BTreeMap::new(),
             leaving: BTreeMap::new(),
             endpoints: Vec::new(),
             watches: ByVm::new(),
-            must_assign: true,
-            slow: SlowOnes::default(),
+            watches_outdated: true,
+            slow: SlowEndpoints::default(),
             permits: PermitAllocator::default(),
             overloaded: Broadcast::default(),
         }
@@ -81,7 +83,7 @@
         &self.scheduler
     }
 
-    /// Takes the engines, and which of them must get no new work.
+    /// Replaces the engines and applies which of them are draining.
     pub(crate) fn configure(&mut self, engines: &Engines, now: Instant) {
         let endpoints = engines.all();
         self.scheduler.configure(&endpoints);
@@ -90,7 +92,7 @@
             self.scheduler.endpoint_cold(name, *until, now);
         }
         self.endpoints = endpoints.keys().cloned().collect();
-        self.must_assign = true;
+        self.watches_outdated = true;
         for endpoint in endpoints.keys() {
             self.scheduler.endpoint_leaving(endpoint, engines.draining.contains(endpoint.as_str()));
         }
@@ -100,12 +102,12 @@
     }
 
     pub(crate) fn next_tick(&self) -> Option<Instant> {
-        let next = self.scheduler.next_decision().map(|at| at.max(self.open_at));
+        let next = self.scheduler.next_decision().map(|at| at.max(self.ready_at));
         let news = self.permits.next_tick().into_iter().chain(self.overloaded.next_tick());
         next.into_iter().chain(news).min()
     }
 
-    /// Takes what became of a move.
+    /// Applies the result of a relocation.
     pub(crate) fn on_relocated(
         &mut self,
         from: &VmName,
@@ -113,13 +115,13 @@
         now: Instant,
         out: &mut Outbox,
     ) {
-        let ticket = Ticket { entry: self.number(from), number: moved.number };
+        let ticket = Ticket { entry: self.daemon_number(from), number: moved.number };
         self.scheduler.on_relocated(ticket, &moved.at, moved.done, now);
         self.decide(now, out);
     }
 
     pub(crate) fn admit(&mut self, from: &VmName, admit: Admit, now: Instant, out: &mut Outbox) {
-        let ticket = Ticket { entry: self.number(from), number: admit.number };
+        let ticket = Ticket { entry: self.daemon_number(from), number: admit.number };
         let running_at = admit.running_at.clone();
         let tokens = admit.tokens;
         let req = admit::decode(ticket, admit);
@@ -128,7 +130,7 @@
             return;
         }
         if let Err(error) = self.scheduler.enqueue(req, now) {
-            out.send(from, Body::GiveUp(give_up(ticket, error)));
+            out.send(from, Body::GiveUp(give_up_message(ticket, error)));
             return;
         }
         self.decide(now, out);
@@ -141,7 +143,7 @@
         now: Instant,
         out: &mut Outbox,
     ) {
-        let entry = self.number(from);
+        let entry = self.daemon_number(from);
         let ticket = |number| Ticket { entry, number };
         for tokens in progress.running {
             self.scheduler.progress(ticket(tokens.number), tokens.tokens, now);
@@ -163,15 +165,15 @@
     }
 
     pub(crate) fn remove_daemon(&mut self, vm: &VmName, now: Instant, out: &mut Outbox) {
-        let Some(entry) = self.numbers.remove(vm) else { return };
-        self.names.remove(&entry);
+        let Some(entry) = self.daemon_numbers.remove(vm) else { return };
+        self.daemon_names.remove(&entry);
         self.watches.remove(vm);
         self.permits.remove_daemon(vm);
         self.scheduler.forget_entry(entry, now);
         self.decide(now, out);
     }
 
-    /// Takes news that a daemon has seen and passes on what is new.
+    /// Applies a health event from a daemon and forwards new ones to the other daemons.
     pub(crate) fn on_health(
         &mut self,
         from: &VmName,
@@ -185,17 +187,17 @@
             HealthNews::Leaving => {
                 let endpoint: Arc<str> = health.endpoint.as_str().into();
                 self.scheduler.endpoint_leaving(&endpoint, true);
-                let known = self.leaving.insert(endpoint, now).is_some();
-                if !known {
-                    tell_others(from, &health, daemons, out);
+                let is_known = self.leaving.insert(endpoint, now).is_some();
+                if !is_known {
+                    forward_health(from, &health, daemons, out);
                 }
             }
             HealthNews::Returned => {}
         }
     }
 
-    /// Takes a load report. One that is younger than the news that the endpoint was leaving
-    /// tells whether it still is.
+    /// Applies a load report. A report newer than the leaving event decides whether the endpoint is
+    /// still leaving.
     pub(crate) fn on_load_report(
         &mut self,
         from: &VmName,
@@ -208,13 +210,13 @@
         self.scheduler.endpoint_report(&report.endpoint, load);
         let news =
             |news: HealthNews| Health { endpoint: report.endpoint.clone(), news: news.into() };
-        let noticed = self.leaving.get(report.endpoint.as_str()).copied();
-        match (report.leaving, noticed) {
+        let leaving_since = self.leaving.get(report.endpoint.as_str()).copied();
+        match (report.leaving, leaving_since) {
             (true, _) => self.on_health(from, news(HealthNews::Leaving), daemons, now, out),
-            (false, Some(noticed)) if noticed < load.at => {
+            (false, Some(since)) if since < load.at => {
                 self.leaving.remove(report.endpoint.as_str());
                 self.scheduler.endpoint_leaving(&report.endpoint, false);
-                tell_others(from, &news(HealthNews::Returned), daemons, out);
+                forward_health(from, &news(HealthNews::Returned), daemons, out);
                 self.decide(now, out);
             }
             (false, _) => {}
@@ -225,23 +227,23 @@
         self.decide(now, out);
         self.assign_watches(daemons, out);
         self.permits.tick(daemons, &mut self.scheduler.throttle, now, out);
-        self.tell_overloaded(daemons, now, out);
+        self.broadcast_overloaded(daemons, now, out);
         self.scheduler.backoffs.expire(now);
     }
 
-    /// Takes word that an endpoint has rejected a request of a daemon.
+    /// Applies a rejection that a daemon reports.
     pub(crate) fn on_rejection(&mut self, from: &VmName, rejected: Rejected, now: Instant) {
         let rejection = rejected.decode();
-        let daemon = self.number(from);
+        let daemon = self.daemon_number(from);
         self.scheduler.on_rejection(daemon, &rejection, now);
-        let must_tell = self.scheduler.shares_backoffs()
+        let must_broadcast = self.scheduler.shares_backoffs()
             && self.scheduler.backoffs.take_news(&rejection.endpoint, now);
-        if must_tell {
+        if must_broadcast {
             self.overloaded.add(&rejection.endpoint, now);
         }
     }
 
-    fn tell_overloaded(&mut self, daemons: &BTreeSet<VmName>, now: Instant, out: &mut Outbox) {
+    fn broadcast_overloaded(&mut self, daemons: &BTreeSet<VmName>, now: Instant, out: &mut Outbox) {
         let backoffs = &self.scheduler.backoffs;
         let due = self.overloaded.take_due(daemons.len(), now);
         let endpoints = due.iter().filter_map(|name| {
@@ -257,12 +259,12 @@
         }
     }
 
-    /// Takes what a daemon has read of the limits that endpoints name.
+    /// Applies rate limits that a daemon reports.
     pub(crate) fn on_rate_limits(&mut self, news: LimitNews, now: Instant) {
         self.permits.on_rate_limits(news, &mut self.scheduler.throttle, now);
     }
 
-    /// Takes a daemon's request for a permit at endpoints that name limits.
+    /// Handles a daemon's request for a permit.
     pub(crate) fn on_permit_query(
         &mut self,
         from: &VmName,
@@ -273,72 +275,72 @@
         self.permits.on_query(from, query, &mut self.scheduler.throttle, now, out);
     }
 
-    /// Some of the limits that endpoints name, the next ones at each call.
+    /// The next few rate limits, in rotation, for a poll reply.
     pub(crate) fn next_rate_limits(&mut self, now: Instant) -> Vec<LimitWord> {
         self.permits.next_limits(&self.scheduler.throttle, now)
     }
 
-    /// Forgets what runs of endpoints have said that are not there any more.
-    pub(crate) fn retain_runs(&mut self, is_there: impl Fn(&str, u64) -> bool, now: Instant) {
-        self.scheduler.retain_runs(is_there, now);
+    /// Removes state of endpoint runs that no longer exist.
+    pub(crate) fn retain_runs(&mut self, exists: impl Fn(&str, u64) -> bool, now: Instant) {
+        self.scheduler.retain_runs(exists, now);
     }
 
-    /// Some of the endpoints that are slower than others, the next ones at each call.
+    /// The next few slow endpoints, in rotation, for a poll reply.
     pub(crate) fn next_slow_endpoints(&mut self, now: Instant) -> Vec<SlowEndpoint> {
         let slow = &mut self.slow;
-        if slow.look <= now {
-            let of = |(name, slowness): (Arc<str>, f64)| {
+        if slow.next_scan <= now {
+            let encode = |(name, slowness): (Arc<str>, f64)| {
                 let percent = (slowness * 100.0) as u32;
                 SlowEndpoint { name: name.to_string(), percent }
             };
-            slow.look = now.after(LOOK_FOR_SLOW);
-            slow.found = self.scheduler.slow_endpoints().into_iter().map(of).collect();
+            slow.next_scan = now.after(SLOW_SCAN_INTERVAL);
+            slow.found = self.scheduler.slow_endpoints().into_iter().map(encode).collect();
         }
         let count = slow.found.len();
-        let told =
-            (0..SLOW_AT_ONCE.min(count)).map(|n| slow.found[(slow.next + n) % count].clone());
-        let told = told.collect();
-        slow.next = slow.next.wrapping_add(SLOW_AT_ONCE);
-        told
+        let batch = (0..SLOW_PER_POLL_REPLY.min(count))
+            .map(|n| slow.found[(slow.next + n) % count].clone());
+        let batch = batch.collect();
+        slow.next = slow.next.wrapping_add(SLOW_PER_POLL_REPLY);
+        batch
     }
 
-    /// Grants, gives up and moves what can be now.
+    /// Sends the grants, rejections and relocations that the scheduler decides now.
     pub(crate) fn decide(&mut self, now: Instant, out: &mut Outbox) {
-        if now < self.open_at {
+        if now < self.ready_at {
             return;
         }
         for Relocation { ticket, from, to } in self.scheduler.plan_relocations(now) {
-            let Some(vm) = self.names.get(&ticket.entry) else { continue };
+            let Some(vm) = self.daemon_names.get(&ticket.entry) else { continue };
             let (from, to) = (from.to_string(), to.to_string());
             out.send(vm, Body::Move(Move { number: ticket.number, from, to }));
         }
         for action in self.scheduler.decide(now) {
             match action {
                 Action::Start { ticket, endpoint, priority } => {
-                    let Some(vm) = self.names.get(&ticket.entry) else { continue };
+                    let Some(vm) = self.daemon_names.get(&ticket.entry) else { continue };
                     let endpoint = endpoint.to_string();
                     out.send(vm, Body::Grant(Grant { number: ticket.number, endpoint, priority }));
                 }
                 Action::GiveUp { ticket, error } => {
-                    let Some(vm) = self.names.get(&ticket.entry) else { continue };
-                    out.send(vm, Body::GiveUp(give_up(ticket, error)));
+                    let Some(vm) = self.daemon_names.get(&ticket.entry) else { continue };
+                    out.send(vm, Body::GiveUp(give_up_message(ticket, error)));
                 }
             }
         }
     }
 
-    /// Each endpoint is asked for its load by one daemon, chosen by rendezvous hashing, so
-    /// that a change of daemons moves few endpoints. Only a change is worth the look at all of them.
+    /// Assigns each endpoint to the daemon that polls its load. Rendezvous hashing reassigns few
+    /// endpoints when daemons come and go.
     fn assign_watches(&mut self, daemons: &BTreeSet<VmName>, out: &mut Outbox) {
-        if !self.must_assign && self.watches.keys().eq(daemons) {
+        if !self.watches_outdated && self.watches.keys().eq(daemons) {
             return;
         }
-        self.must_assign = false;
+        self.watches_outdated = false;
         let mut assigned: ByVm<Vec<String>> =
             daemons.iter().map(|vm| (vm.clone(), Vec::new())).collect();
         for endpoint in &self.endpoints {
-            let chosen = daemons.iter().max_by_key(|vm| rendezvous(vm, endpoint));
-            if let Some(list) = chosen.and_then(|vm| assigned.get_mut(vm)) {
+            let watcher = daemons.iter().max_by_key(|vm| rendezvous(vm, endpoint));
+            if let Some(list) = watcher.and_then(|vm| assigned.get_mut(vm)) {
                 list.push(endpoint.clone());
             }
         }
@@ -350,13 +352,13 @@
         self.watches = assigned;
     }
 
-    fn number(&mut self, vm: &VmName) -> u64 {
-        if let Some(number) = self.numbers.get(vm) {
+    fn daemon_number(&mut self, vm: &VmName) -> u64 {
+        if let Some(number) = self.daemon_numbers.get(vm) {
             return *number;
         }
-        let number = self.names.keys().next_back().map_or(1, |last| last + 1);
-        self.numbers.insert(vm.clone(), number);
-        self.names.insert(number, vm.clone());
+        let number = self.daemon_names.keys().next_back().map_or(1, |last| last + 1);
+        self.daemon_numbers.insert(vm.clone(), number);
+        self.daemon_names.insert(number, vm.clone());
         number
     }
 }
@@ -366,17 +368,17 @@
     hasher.update(vm.as_bytes());
     hasher.update(&[0]);
     hasher.update(endpoint.as_bytes());
-    // The checksum of texts that differ in one place only is close; spread it.
+    // CRCs of similar names are correlated; mix the bits.
     hasher.finalize().wrapping_mul(0x9e37_79b1).rotate_left(15).wrapping_mul(0x85eb_ca77)
 }
 
-fn tell_others(from: &VmName, health: &Health, daemons: &BTreeSet<VmName>, out: &mut Outbox) {
+fn forward_health(from: &VmName, health: &Health, daemons: &BTreeSet<VmName>, out: &mut Outbox) {
     for vm in daemons.iter().filter(|vm| *vm != from) {
         out.send(vm, Body::Health(health.clone()));
     }
 }
 
-fn give_up(ticket: Ticket, error: RequestError) -> GiveUp {
+fn give_up_message(ticket: Ticket, error: RequestError) -> GiveUp {
     GiveUp {
         number: ticket.number,
         kind: error.kind.number(),
--- a/crates/core/src/node/placement_client/backoff.rs
+++ b/crates/core/src/node/placing/backoff.rs
@@ -1,4 +1,4 @@
-//! Endpoints that have rejected requests of this daemon.
+//! Backoff of endpoints that have rejected requests of this daemon.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
     wire::{Body, Overloaded, Rejected},
 };
 
-/// Back-offs that a new leader is told of by one daemon.
+/// Maximum number of backoffs that one daemon sends to a new leader.
 const MAX_BACKOFFS_SENT: usize = 64;
 
 impl PlacementClient {
-    /// Takes what an endpoint has rejected, and tells the leader, which places requests of this daemon.
+    /// Records a rejection and reports it to the leader's scheduler.
     pub(crate) fn on_rejection(
         &mut self,
         rejection: &Rejection,
@@ -36,36 +36,37 @@
         }
     }
 
-    /// Takes the leader's word of endpoints that reject requests of other daemons.
+    /// Applies the leader's list of endpoints that reject requests of other daemons.
     pub(crate) fn on_overloaded(&mut self, news: &Overloaded, now: Instant) {
-        for told in &news.endpoints {
-            let endpoint: Arc<str> = told.endpoint.as_str().into();
-            self.local.backoffs.on_report(&endpoint, told.started_at, told.left(), now);
+        for overloaded in &news.endpoints {
+            let endpoint: Arc<str> = overloaded.endpoint.as_str().into();
+            self.local.backoffs.on_report(&endpoint, overloaded.started_at, overloaded.left(), now);
         }
     }
 
-    /// Tells a new leader which endpoints want nothing from this daemon.
+    /// Sends a new leader the active backoffs of this daemon.
     pub(super) fn send_backoffs(&self, scheduler: &VmName, now: Instant, out: &mut Outbox) {
         for rejection in self.local.backoffs.asked(LOCAL_DAEMON, now).take(MAX_BACKOFFS_SENT) {
             out.send(scheduler, Body::Rejected(Rejected::encode(&rejection)));
         }
     }
 
-    /// Forgets what runs of endpoints have said that are not there any more.
-    pub(crate) fn retain_runs(&mut self, is_there: impl Fn(&str, u64) -> bool, now: Instant) {
-        self.local.retain_runs(is_there, now);
+    /// Removes state of endpoint runs that no longer exist.
+    pub(crate) fn retain_runs(&mut self, exists: impl Fn(&str, u64) -> bool, now: Instant) {
+        self.local.retain_runs(exists, now);
     }
 
-    /// Shows which endpoints take requests of this daemon again.
+    /// Publishes the backoffs that have expired.
     pub(super) fn expire_backoffs(&mut self, now: Instant, out: &mut Outbox) {
         if self.next_backoff_expiry.is_none_or(|end| now < end) {
             return;
         }
         let backoffs = &self.local.backoffs;
-        let is_over = |name: &Arc<str>| backoffs.backs_off_until(name, LOCAL_DAEMON, now).is_none();
-        let ended: Vec<Arc<str>> =
-            self.backing_off.iter().filter(|name| is_over(name)).cloned().collect();
-        for endpoint in ended {
+        let is_expired =
+            |name: &Arc<str>| backoffs.backs_off_until(name, LOCAL_DAEMON, now).is_none();
+        let expired: Vec<Arc<str>> =
+            self.backing_off.iter().filter(|name| is_expired(name)).cloned().collect();
+        for endpoint in expired {
             self.backing_off.remove(&endpoint);
             self.publish_backoff(&endpoint, now, out);
         }
--- a/crates/core/src/node/placement_client/local.rs
+++ b/crates/core/src/node/placing/local.rs
@@ -1,4 +1,4 @@
-//! Requests that this daemon places by itself.
+//! Placement with the local scheduler.
 
 use super::{PlacementClient, Running, Waiting};
 use crate::{
@@ -9,7 +9,7 @@
 };
 
 impl PlacementClient {
-    /// Takes a request that no scheduler answers for.
+    /// Queues a request at the local scheduler.
     pub(super) fn place_locally(
         &mut self,
         call: CallId,
@@ -26,7 +26,7 @@
         self.schedule_locally(now, out);
     }
 
-    /// Takes back what waits at a scheduler that has fallen silent.
+    /// Moves requests from the queue of an unresponsive scheduler to the local one.
     pub(super) fn reclaim_waiting(&mut self, now: Instant, out: &mut Outbox) {
         let remote: Vec<CallId> =
             self.waiting.iter().filter(|(_, w)| w.remote).map(|(call, _)| *call).collect();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Starts, moves and gives up what this daemon places by itself.
+    /// Carries out the decisions of the local scheduler.
     pub(super) fn schedule_locally(&mut self, now: Instant, out: &mut Outbox) {
         if self.scheduler.is_none() {
             for Relocation { ticket, from, to } in self.local.plan_relocations(now) {
@@ -52,7 +52,7 @@
                     let running =
                         Running { req: waiting.req, endpoint: endpoint.clone(), tokens: 0 };
                     if let Some(scheduler) = &self.scheduler {
-                        // It waited here since the scheduler was silent; now that one hears of it.
+                        // It was queued locally before the scheduler answered again.
                         out.send(scheduler, Body::Admit(running.admit_message(call)));
                     }
                     self.running.insert(call, running);
--- a/crates/core/src/node/placement_client/mod.rs
+++ b/crates/core/src/node/placing/mod.rs
@@ -1,8 +1,8 @@
-//! Finds places for this daemon's requests: at the scheduler, or by itself while no
-//! scheduler answers.
+//! Places this daemon's requests through the leader's scheduler, or with a local scheduler while no
+//! leader answers.
 //!
-//! The fallback knows only what runs here. It draws two endpoints at random for each request; which
-//! of them takes it they are asked themselves (see [`crate::placement::sort_by_cost`]).
+//! The local scheduler knows only this daemon's requests. It samples two endpoints per request; the
+//! caller then compares their current load (see [`crate::placement::sort_by_cost`]).
 
 mod backoff;
 mod local;
@@ -31,25 +31,29 @@
     },
 };
 
-/// Interval at which token counts are passed on.
+/// Interval between reports of token counts to the scheduler.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Added to a request's time in the queue before this daemon gives it up itself.
+/// Time past a request's maximum wait after which this daemon fails it if the scheduler has not
+/// answered.
 const GIVE_UP_GRACE: Duration = Duration::from_millis(500);
 
+/// A request in a scheduler's queue.
 #[derive(Debug)]
 struct Waiting {
     req: Request,
     deadline: Instant,
+    /// Whether it waits at the leader's scheduler.
     remote: bool,
 }
 
 impl Waiting {
-    /// Asks a scheduler for a place.
+    /// Message that requests a place from the leader's scheduler.
     fn admit_message(&self, call: CallId, now: Instant) -> Admit {
         admit::encode(call, &self.req, self.deadline.since(now).saturating_sub(GIVE_UP_GRACE))
     }
 }
 
+/// A request that runs on an endpoint.
 #[derive(Debug)]
 struct Running {
     req: Request,
@@ -58,7 +62,7 @@
 }
 
 impl Running {
-    /// Tells a scheduler that this request already runs.
+    /// Message that reports this request as already running.
     fn admit_message(&self, call: CallId) -> Admit {
         let mut admit = admit::encode(call, &self.req, Duration::ZERO);
         admit.running_at = Some(self.endpoint.to_string());
@@ -67,24 +71,23 @@
     }
 }
 
-/// Requests of this daemon that wait for a place or have one.
+/// Tracks this daemon's requests that wait for a place or have one.
 pub(crate) struct PlacementClient {
     local: Scheduler,
     endpoints: Endpoints,
     scheduler: Option<VmName>,
     waiting: BTreeMap<CallId, Waiting>,
     running: BTreeMap<CallId, Running>,
-    /// Running requests whose token counts were not passed on yet.
+    /// Running requests with token counts that the scheduler has not been sent.
     unreported: BTreeSet<CallId>,
     next_report: Instant,
-    /// Endpoints that have asked this daemon to back off, until it has shown that this is over.
+    /// Endpoints whose backoff was published and whose expiry was not published yet.
     backing_off: BTreeSet<Arc<str>>,
-    /// When the first endpoint takes requests of this daemon again.
     next_backoff_expiry: Option<Instant>,
 }
 
 impl PlacementClient {
-    /// Without requests or endpoints; the seed must be another on each daemon.
+    /// Creates a client without requests or endpoints. The seed must differ between daemons.
     pub(crate) fn new(disabled: Disabled, seed: u64) -> PlacementClient {
         PlacementClient {
             local: Scheduler::local(disabled, seed),
@@ -99,22 +102,22 @@
         }
     }
 
-    /// The scheduler that is used while no other answers.
+    /// The scheduler that is used while no leader answers.
     pub(crate) fn local(&self) -> &Scheduler {
         &self.local
     }
 
-    /// The limits that endpoints name, as this daemon knows them.
+    /// The rate limits of endpoints known to this daemon.
     pub(crate) fn throttle_mut(&mut self) -> &mut Throttle {
         &mut self.local.throttle
     }
 
-    /// The endpoints that have rejected requests, as this daemon knows them.
+    /// Backoff state of endpoints known to this daemon.
     pub(crate) fn backoffs_mut(&mut self) -> &mut BackoffTable {
         &mut self.local.backoffs
     }
 
-    /// Takes the engines that schedulers may use.
+    /// Replaces the engines that the local scheduler may use.
     pub(crate) fn configure(&mut self, engines: &Engines, now: Instant) {
         let endpoints = engines.all();
         if self.endpoints != endpoints {
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Passes an order to move on to the request, if it still runs where the scheduler thinks.
+    /// Starts a relocation, unless the request has left the endpoint that the scheduler assumes.
     pub(crate) fn on_move(&self, order: &Move, out: &mut Outbox) {
         let call = CallId(order.number);
         let runs_there = self.running.get(&call).is_some_and(|r| *r.endpoint == *order.from);
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Takes what became of a move.
+    /// Applies and reports the result of a relocation.
     pub(crate) fn on_relocated(
         &mut self,
         call: CallId,
@@ -153,7 +156,7 @@
         running.endpoint = at.clone();
         self.local.on_relocated(ticket(call), at, done, now);
         if done && self.scheduler.is_none() {
-            // The other one of two that were drawn.
+            // It moved to the other sampled endpoint, whose rate limit must count it.
             self.local.throttle.sent(at, now);
         }
         if let Some(scheduler) = &self.scheduler {
@@ -198,7 +201,7 @@
     pub(crate) fn on_grant(&mut self, from: &VmName, grant: Grant, now: Instant, out: &mut Outbox) {
         let call = CallId(grant.number);
         let Some(waiting) = self.waiting.remove(&call) else {
-            // The caller has left, or this daemon placed it itself meanwhile.
+            // The caller has disconnected, or the local scheduler has placed it meanwhile.
             if !self.running.contains_key(&call) {
                 out.send(from, Body::Progress(end_message(call, 0)));
             }
@@ -223,8 +226,8 @@
         out.reply(call, NodeReply::Placed(Err(error)));
     }
 
-    /// Takes a token count. The first is passed on at once: the prompt has been read, and the
-    /// generation may be handed over.
+    /// Records a token count. The first is reported at once, since the prefill is done and the
+    /// generation can be relocated.
     pub(crate) fn on_progress(
         &mut self,
         call: CallId,
@@ -285,13 +288,13 @@
         self.on_finished(call, 0, false, now, out);
     }
 
-    /// Takes news of an endpoint; what this daemon has seen itself goes on to the scheduler.
+    /// Applies a health event; one that this daemon has observed is forwarded to the scheduler.
     pub(crate) fn on_health(
         &mut self,
         endpoint: &Arc<str>,
         news: HealthNews,
         now: Instant,
-        own: bool,
+        observed_here: bool,
         out: &mut Outbox,
     ) {
         match news {
@@ -299,18 +302,18 @@
             HealthNews::Leaving => self.local.endpoint_leaving(endpoint, true),
             HealthNews::Returned => self.local.endpoint_leaving(endpoint, false),
         }
-        if let (true, Some(scheduler)) = (own, &self.scheduler) {
+        if let (true, Some(scheduler)) = (observed_here, &self.scheduler) {
             let health = Health { endpoint: endpoint.to_string(), news: news.into() };
             out.send(scheduler, Body::Health(health));
         }
     }
 
-    /// Takes the number of daemons, with which this one shares what cold endpoints bear and limits allow.
+    /// Sets the number of daemons that share rate limits and the capacity of cold endpoints.
     pub(crate) fn set_daemons(&mut self, daemons: u64, now: Instant) {
         self.local.set_sender_role(SenderRole::one_of(daemons), now);
     }
 
-    /// Takes the leader's word of endpoints that are slow.
+    /// Applies the leader's list of slow endpoints.
     pub(crate) fn on_slow_endpoints(&mut self, slow: &[SlowEndpoint], now: Instant) {
         for SlowEndpoint { name, percent } in slow {
             self.local.endpoint_slow(name, f64::from(*percent) / 100.0, now);
@@ -336,7 +339,7 @@
                 self.scheduler = None;
                 self.reclaim_waiting(now, out);
             }
-            // It was silent for a while.
+            // The scheduler answers again.
             (Some(_), None) => self.on_scheduler_change(scheduler, now, out),
             (Some(_), Some(_)) => {}
         }
@@ -350,7 +353,7 @@
         }
     }
 
-    /// Tells a new scheduler what runs and what waits here.
+    /// Sends a new scheduler the running and waiting requests of this daemon.
     pub(crate) fn on_scheduler_change(
         &mut self,
         scheduler: Option<&RemoteScheduler>,
