--- a/crates/core/src/placement/accounting.rs
+++ b/crates/core/src/placement/accounting.rs
@@ -1,4 +1,4 @@
-//! The scheduler's account of what runs: where, how far it is, and what it still needs.
+//! Accounting of running requests: their endpoints, progress and remaining demand.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,14 +13,14 @@
 use crate::{mechanism::Mechanism, units::Instant};
 
 impl Scheduler {
-    /// Takes over a request that already runs, as reported by its entry daemon.
+    /// Adds a request that is already running, as reported by its entry daemon.
     pub fn adopt(&mut self, req: Request, endpoint: &str, tokens: u64, now: Instant) {
         let ticket = req.ticket;
         if !self.endpoints.contains_key(endpoint) {
             return;
         }
         if self.placed.contains_key(&ticket) {
-            // The daemon placed it by itself while this scheduler was silent.
+            // The daemon placed it locally while this scheduler was unreachable.
             return self.relocate(ticket, &endpoint.into(), now);
         }
         if tokens == 0
@@ -32,7 +32,7 @@
         self.record_tokens(ticket, tokens, now);
     }
 
-    /// The chance that an answer to this request would end within this time.
+    /// Estimates the probability that a response to this request completes within this time.
     pub(crate) fn completion_probability(
         &self,
         req: &Request,
@@ -53,7 +53,7 @@
         1.0 - self.forecast.distribution(&req.workspace, &req.kind).probability_beyond(0, tokens)
     }
 
-    /// Notes the number of tokens that a running stream has produced.
+    /// Records the number of tokens that a running stream has produced.
     pub fn progress(&mut self, ticket: Ticket, tokens: u64, now: Instant) {
         let Some(placed) = self.placed.get(&ticket) else { return };
         if placed.tokens == 0 && 0 < tokens && self.limits.disabled.allows(Mechanism::Handover) {
@@ -88,7 +88,7 @@
         placed.tokens = tokens;
     }
 
-    /// Notes that a running request ended, whole or not.
+    /// Records that a running request ended; `whole` if its response was complete.
     pub fn finish(&mut self, ticket: Ticket, tokens: u64, whole: bool, now: Instant) {
         self.progress(ticket, tokens, now);
         let Some(placed) = self.placed.remove(&ticket) else { return };
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Forgets a waiting or running request whose caller has left.
+    /// Removes a queued or running request whose caller has disconnected.
     pub fn cancel(&mut self, ticket: Ticket, now: Instant) {
         if let Some(queued) = self.queued.remove(&ticket) {
             self.on_dequeued(&queued);
@@ -123,7 +123,7 @@
         self.finish(ticket, 0, false, now);
     }
 
-    /// Forgets every request of an entry daemon that is gone.
+    /// Removes all requests of a disconnected entry daemon.
     pub fn forget_entry(&mut self, entry: u64, now: Instant) {
         self.backoffs.forget_daemon(entry);
         let queued = self.queued.keys().filter(|t| t.entry == entry);
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Accounts for a running request at another endpoint from now on.
+    /// Moves the accounting of a running request to another endpoint.
     pub(super) fn relocate(&mut self, ticket: Ticket, to: &Arc<str>, now: Instant) {
         let Some(placed) = self.placed.get_mut(&ticket) else { return };
         if placed.endpoint == *to {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// What a running request still needs of an endpoint that goes on with it.
+    /// Demand of a running request on an endpoint that would continue it.
     pub(super) fn remaining_demand(&self, placed: &PlacedRequest) -> Demand {
         let req = &placed.req;
         let distribution = self.forecast.distribution(&req.workspace, &req.kind);
@@ -177,7 +177,7 @@
         self.remove_if_idle(&queued.workspace);
     }
 
-    /// Counts a request as running or no longer so, and holds its workspace back at the limit.
+    /// Adjusts the running count of a workspace and suspends its queued requests at the limit.
     pub(super) fn count_running(&mut self, req: &Request, change: i64) {
         let count = self.counts.entry(req.workspace.clone()).or_default();
         count.running = count.running.saturating_add_signed(change);
@@ -209,7 +209,7 @@
         self.account_placed(req, endpoint, now);
     }
 
-    /// Accounts for a request that runs at an endpoint from now on.
+    /// Starts the accounting of a request on an endpoint.
     fn account_placed(&mut self, req: Request, endpoint: &Arc<str>, now: Instant) {
         let Some(state) = self.endpoints.get_mut(endpoint) else { return };
         let memory =
--- a/crates/core/src/placement/backoff.rs
+++ b/crates/core/src/placement/backoff.rs
@@ -1,4 +1,4 @@
-//! Endpoints that have rejected requests: who may still be sent to them, and what waits for them.
+//! Placement on endpoints that have rejected requests, and requests held until a back-off ends.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,10 +17,10 @@
     units::Instant,
 };
 
-/// Pause between two looks at an endpoint that has yet to answer another request.
+/// Recheck interval for endpoints that have an unanswered probe request after a back-off.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A request that waits until an endpoint takes requests of its daemon again.
+/// A request that is held until the back-off of its daemon ends.
 #[derive(Debug)]
 pub(super) struct HeldRequest {
     req: Request,
@@ -28,11 +28,11 @@
     until: Instant,
 }
 
-/// The endpoints that a request may be sent to now, the better ones apart from others.
+/// Endpoints that admit a request, in groups of decreasing preference.
 pub(super) struct AdmissionGroups<'a> {
     open: Vec<&'a EndpointState>,
     last_resort: Vec<&'a EndpointState>,
-    /// Those that have rejected it, or failed: used if there are no others, whether these have room or not.
+    /// Endpoints that have rejected or failed this request; used only if the other groups are empty.
     avoided: Vec<&'a EndpointState>,
 }
 
@@ -60,7 +60,7 @@
         groups
     }
 
-    /// The best one with room.
+    /// Selects the best endpoint with capacity.
     pub(super) fn choose(
         &self,
         demand: &Demand,
@@ -75,23 +75,23 @@
 }
 
 impl Scheduler {
-    /// Takes what an endpoint has rejected of a daemon's requests.
+    /// Records that an endpoint rejected a request of a daemon.
     pub fn on_rejection(&mut self, daemon: u64, rejection: &Rejection, now: Instant) {
         self.backoffs.on_rejection(daemon, rejection, now);
     }
 
-    /// Whether an endpoint that rejects one daemon is the last resort of all.
+    /// Whether an endpoint that rejects one daemon becomes the last resort for all daemons.
     pub(crate) fn shares_backoffs(&self) -> bool {
         self.limits.disabled.allows(Mechanism::SharedBackoff)
     }
 
-    /// Forgets what runs of endpoints have said in answers that are not there any more.
+    /// Discards rate limits and back-offs reported by endpoint runs that no longer exist.
     pub(crate) fn retain_runs(&mut self, is_current: impl Fn(&str, u64) -> bool, now: Instant) {
         self.throttle.retain(|word| is_current(&word.endpoint, word.born), now);
         self.backoffs.retain(is_current, now);
     }
 
-    /// Whether a request of a daemon may be sent to an endpoint now; nothing if it takes none for other reasons.
+    /// Whether an endpoint admits requests of a daemon; `None` if it is unavailable for other reasons.
     pub(super) fn admission(
         &self,
         endpoint: &EndpointState,
@@ -110,13 +110,13 @@
         if is_own || self.shares_backoffs() { admission } else { Admission::Open }
     }
 
-    /// The same for a request that a daemon sends by itself.
+    /// Like [`Scheduler::admission`], for requests that this daemon sends itself.
     pub(crate) fn local_admission(&self, endpoint: &str, now: Instant) -> Admission {
         self.admission_of(endpoint, LOCAL_DAEMON, now)
     }
 
-    /// When to look again at a request if every endpoint that could be used takes none of its daemon: all have asked
-    /// it to back off, but for those that have yet to answer another request.
+    /// Returns when to retry a request if no usable endpoint admits its daemon and at least one has
+    /// asked it to back off.
     pub(super) fn backed_off_until(&self, req: &Request, now: Instant) -> Option<Instant> {
         if self.backoffs.is_empty() {
             return None;
@@ -138,8 +138,8 @@
         earliest.filter(|_| any_backed_off)
     }
 
-    /// Takes a request that no endpoint takes before then out of the queue, so that it holds up nobody, and lets
-    /// it wait beside the queue if it can.
+    /// Moves a request that no endpoint admits before `until` out of the queue, so that it does not
+    /// block others. Rejects it if it would expire first.
     pub(super) fn hold_until(
         &mut self,
         ticket: Ticket,
@@ -159,7 +159,7 @@
         Some(Action::GiveUp { ticket, error })
     }
 
-    /// Puts requests whose wait is over back into the queue.
+    /// Puts held requests whose back-off has ended back into the queue.
     pub(super) fn requeue_held(&mut self, now: Instant) {
         for held in std::mem::take(&mut self.held) {
             if now < held.until {
@@ -170,12 +170,12 @@
         }
     }
 
-    /// Forgets a request that waits no more.
+    /// Removes a held request.
     pub(super) fn remove_held(&mut self, ticket: Ticket) {
         self.held.retain(|held| held.req.ticket != ticket);
     }
 
-    /// When an endpoint that has rejected requests becomes more open, while any wait.
+    /// Time at which a back-off next changes or a held request is due, if any request is queued.
     pub(super) fn next_backoff_change(&self) -> Option<Instant> {
         if self.queued.is_empty() {
             return None;
@@ -184,8 +184,8 @@
         held.chain(self.backoffs.next_change(self.last_decision)).min()
     }
 
-    /// The error for a request whose daemon every endpoint has asked to back off until then at least. The more are
-    /// refused at the same time, the later they are told to come back.
+    /// Error for a request whose daemon all endpoints have asked to back off until `until`. Retry times
+    /// are spread over requests that are rejected at the same time.
     pub(super) fn backed_off_error(
         &mut self,
         target: &EndpointTarget,
@@ -193,7 +193,7 @@
         now: Instant,
     ) -> RequestError {
         let endpoints = self.targets.get(target).map_or(0, |target| target.endpoints.len());
-        let wait: Duration = until.since(now) + self.refusals.add(endpoints, now);
+        let wait: Duration = until.since(now) + self.retry_spreader.add(endpoints, now);
         let message = format!(
             "all endpoints of {} have asked this daemon to back off; retry after {} ms",
             target.name(),
--- a/crates/core/src/placement/endpoint.rs
+++ b/crates/core/src/placement/endpoint.rs
@@ -1,4 +1,4 @@
-//! What the scheduler knows of one endpoint.
+//! The scheduler's state of one endpoint.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -15,51 +15,51 @@
 };
 use crate::{config::EndpointSpec, units::Instant};
 
-/// A cached prefix is believed for this long.
+/// Time after which a prompt prefix is assumed to be evicted from the cache.
 const PREFIX_TTL: Duration = Duration::from_secs(60);
-/// A scheduler's word that an endpoint is slow is believed for this long. Each daemon is told of all
-/// slow ones in turn, of 600 within 40 s.
+/// Lifetime of a slowness report. Exceeds the time the scheduler needs to broadcast all slow
+/// endpoints in turn.
 const SLOWNESS_REPORT_TTL: Duration = Duration::from_secs(60);
 const MAX_PREFIXES: usize = 512;
 const MAX_LOAD_CHANGES: usize = 256;
 
-/// Whether an endpoint may get new work.
+/// Health of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// It may.
+    /// Accepts new requests.
     Live,
-    /// It is leaving: what runs there goes on, nothing new is sent.
+    /// Draining: running requests continue, new ones are not sent.
     Leaving,
-    /// It failed; it may be tried again at this time.
+    /// Failed; may be retried at this time.
     Down(Instant),
 }
 
-/// A load report of an endpoint, true some time ago.
+/// Load reported by an endpoint, as of some time ago.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LoadReport {
-    /// When the report was true.
+    /// Time the report describes.
     pub at: Instant,
-    /// Requests running.
+    /// Running requests.
     pub running: u64,
-    /// Requests waiting inside the endpoint.
+    /// Requests queued at the endpoint.
     pub waiting: u64,
-    /// Memory in use, in tokens.
+    /// KV cache in use, in tokens.
     pub kv_used: u64,
 }
 
-/// Forecast of one stream's memory at each horizon.
+/// Forecast KV cache use of one stream, at each of the [`HORIZONS`].
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct MemoryDemand {
     pub(crate) mean: [f64; HORIZONS.len()],
     pub(crate) variance: [f64; HORIZONS.len()],
-    /// Memory in use now, in tokens.
+    /// KV cache in use now, in tokens.
     pub(crate) used: f64,
-    /// What the whole answer is expected to be worth, in tokens read; see [`worth`].
+    /// Expected value of the whole generation; see [`generation_value`](super::forecast::generation_value).
     pub(crate) value: f64,
 }
 
 impl MemoryDemand {
-    /// The forecast for a stream with `prompt + so_far` tokens in memory.
+    /// Forecast for a stream with `prompt + so_far` tokens in the KV cache.
     pub(crate) fn forecast(
         distribution: &LengthDistribution,
         prompt: u64,
@@ -89,48 +89,48 @@
     }
 }
 
-/// How much slower than others an endpoint is, as a scheduler has told.
+/// Slowness of an endpoint as reported by a scheduler.
 #[derive(Debug, Clone, Copy)]
 struct ReportedSlowness {
     slowness: f64,
     at: Instant,
 }
 
-/// A grant or a release of one request.
+/// A grant or release since the last load report.
 #[derive(Debug, Clone, Copy)]
 struct LoadChange {
     at: Instant,
     delta: i64,
 }
 
-/// One endpoint: its limits, health, granted work and forecast.
+/// State of one endpoint: limits, health, granted requests and memory forecast.
 #[derive(Debug)]
 pub struct EndpointState {
     pub(crate) name: Arc<str>,
     pub(crate) spec: EndpointSpec,
     pub(crate) health: Health,
-    /// Its data hall is out of service.
+    /// Whether its data hall is out of service.
     hall_out: bool,
     cold: Option<ColdPacer>,
     /// Requests granted and not yet finished.
     pub(crate) running: u64,
     pub(crate) total: MemoryDemand,
     pub(crate) report: LoadReport,
-    /// Grants and releases since the last report was true.
+    /// Grants and releases after the time of the last report.
     changes_since_report: VecDeque<LoadChange>,
     prefixes: HashMap<PrefixHash, Instant>,
     failures: u32,
-    /// The prompts that were granted to it.
+    /// Prompts granted to the endpoint and not yet prefilled.
     pub(crate) prefill: PrefillQueue,
-    /// How fast it makes tokens.
+    /// Measured time per output token.
     pub(crate) token_latency: TokenLatency,
     slowness_report: Option<ReportedSlowness>,
-    /// The request that runs apart for which it is kept, and takes no other work.
+    /// Isolated request for which the endpoint is reserved; no other request is placed there.
     pub(crate) reserved_for: Option<Ticket>,
 }
 
 impl EndpointState {
-    /// A live endpoint without work.
+    /// Creates a live endpoint without load.
     pub fn new(name: Arc<str>, spec: EndpointSpec) -> EndpointState {
         EndpointState {
             name,
@@ -151,12 +151,12 @@
         }
     }
 
-    /// Its limits and address.
+    /// Configured limits and address.
     pub fn spec(&self) -> &EndpointSpec {
         &self.spec
     }
 
-    /// Its health.
+    /// Current health.
     pub fn health(&self) -> Health {
         self.health
     }
@@ -166,8 +166,8 @@
         self.hall_out
     }
 
-    /// Notes that it is cold until then; its first request is due after this part of the time between
-    /// two.
+    /// Marks the endpoint as cold until `until`. `phase` is the fraction of the send interval before
+    /// the first request.
     pub(crate) fn set_cold(&mut self, until: Instant, role: SenderRole, phase: f64, now: Instant) {
         let Some(cold_start) = self.spec.cold_start else { return };
         match &mut self.cold {
@@ -178,14 +178,14 @@
         }
     }
 
-    /// Notes that a request is sent to it.
+    /// Records that a request was sent to the endpoint.
     pub(crate) fn on_sent(&mut self, role: SenderRole, now: Instant) {
         if let (Some(cold), Some(cold_start)) = (&mut self.cold, self.spec.cold_start) {
             cold.on_sent(cold_interval(role, cold_start), now);
         }
     }
 
-    /// When it may be sent the next request while it is cold.
+    /// Earliest time of the next request to a cold endpoint.
     pub(crate) fn next_cold_send(&self) -> Option<Instant> {
         self.cold.map(|cold| cold.next_send_at())
     }
@@ -199,13 +199,12 @@
         self.running
     }
 
-    /// Whether new work may be sent now.
+    /// Whether the endpoint accepts new requests now.
     pub fn is_available(&self, now: Instant) -> bool {
         self.reserved_for.is_none() && self.is_usable(now)
     }
 
-    /// Whether new work may be sent now, or could be if the endpoint were not kept for a request that
-    /// runs apart.
+    /// Whether the endpoint accepts requests now, ignoring a reservation for an isolated request.
     pub(crate) fn is_usable(&self, now: Instant) -> bool {
         match self.health {
             _ if self.hall_out => false,
@@ -216,8 +215,8 @@
         }
     }
 
-    /// Requests believed to be at the endpoint: the greater of what was granted
-    /// here and what it reported, corrected by grants and releases since then.
+    /// Estimated number of requests at the endpoint: the larger of the granted requests and the last
+    /// report adjusted by later grants and releases.
     pub fn load(&self) -> u64 {
         if self.report.at == Instant::default() {
             return self.running;
@@ -227,12 +226,12 @@
         self.running.max((reported + since).max(0) as u64)
     }
 
-    /// Memory in use now, in tokens, by the scheduler's own account.
+    /// KV cache in use according to granted requests, in tokens.
     pub fn kv_used(&self) -> f64 {
         self.total.used
     }
 
-    /// Takes a lagged report: grants made after it are counted on top.
+    /// Applies a delayed load report; older reports are ignored.
     pub fn on_report(&mut self, report: LoadReport) {
         if report.at < self.report.at {
             return;
@@ -243,24 +242,24 @@
         }
     }
 
-    /// Notes that it takes so many times as long as others for everything.
+    /// Stores how many times slower than its peers the endpoint is, as reported by a scheduler.
     pub(crate) fn set_reported_slowness(&mut self, slowness: f64, now: Instant) {
         self.slowness_report = Some(ReportedSlowness { slowness, at: now });
     }
 
-    /// How many times as long as others it takes, as far as a scheduler has told lately.
+    /// Slowness from the last report; 1.0 if it has expired.
     pub(crate) fn reported_slowness(&self, now: Instant) -> f64 {
         let report =
             self.slowness_report.filter(|report| now.since(report.at) < SLOWNESS_REPORT_TTL);
         report.map_or(1.0, |report| report.slowness)
     }
 
-    /// Whether the prefix is believed to be cached.
+    /// Whether the prefix is assumed to be in the endpoint's cache.
     pub fn has_prefix(&self, prefix: PrefixHash, now: Instant) -> bool {
         self.prefixes.get(&prefix).is_some_and(|at| now.since(*at) < PREFIX_TTL)
     }
 
-    /// Notes that the prefix is cached here.
+    /// Records that the prefix is cached on the endpoint.
     pub fn record_prefix(&mut self, prefix: PrefixHash, now: Instant) {
         if MAX_PREFIXES <= self.prefixes.len() {
             self.prefixes.retain(|_, at| now.since(*at) < PREFIX_TTL);
@@ -271,8 +270,8 @@
         self.prefixes.insert(prefix, now);
     }
 
-    /// Opens the circuit after a failure, for longer after each in a row. Returns until when, if new
-    /// work may be sent then.
+    /// Opens the circuit breaker with exponential backoff. Returns the time of the next attempt,
+    /// or `None` if the endpoint is leaving.
     pub(crate) fn on_failure(&mut self, now: Instant) -> Option<Instant> {
         const INITIAL_PAUSE: Duration = Duration::from_millis(500);
         const MAX_PAUSE: Duration = Duration::from_secs(30);
@@ -286,7 +285,7 @@
         Some(until)
     }
 
-    /// Closes the circuit after a success.
+    /// Closes the circuit breaker.
     pub(crate) fn on_success(&mut self) {
         self.failures = 0;
         if matches!(self.health, Health::Down(_)) {
@@ -310,14 +309,14 @@
         self.record_change(LoadChange { at: now, delta: -1 });
         self.total.add(memory, -1.0);
         if self.running == 0 {
-            // Drop what rounding left behind.
+            // Discard accumulated rounding errors.
             self.total = MemoryDemand::default();
         }
     }
 
     fn record_change(&mut self, change: LoadChange) {
         if MAX_LOAD_CHANGES <= self.changes_since_report.len() {
-            // Reports have stopped; what was granted here is the better account.
+            // Load reports have stopped; fall back to counting grants.
             self.report = LoadReport::default();
             self.changes_since_report.clear();
         }
--- a/crates/core/src/placement/endpoint_updates.rs
+++ b/crates/core/src/placement/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! What a scheduler is told of endpoints.
+//! Updates of endpoint state: configuration, health, cold starts and load.
 
 use std::{
     collections::HashMap,
@@ -17,12 +17,12 @@
     units::Instant,
 };
 
-/// Daemons are told of an endpoint that takes this many times as long as the middle one: equal ones
-/// differ by up to 1.1 in their speed of reading, by what else runs there.
+/// Slowness relative to the median from which an endpoint is reported to daemons. Prefill speeds of
+/// equal endpoints vary by up to 1.1.
 const MIN_REPORTED_SLOWNESS: f64 = 1.15;
 
 impl Scheduler {
-    /// Takes the endpoints of an accepted configuration; what runs goes on.
+    /// Applies the endpoints of an accepted configuration; running requests continue.
     pub fn configure(&mut self, endpoints: &Endpoints) {
         for target in self.targets.values_mut() {
             target.endpoints.clear();
@@ -45,7 +45,7 @@
         let endpoints = &self.endpoints;
         self.moves.leaving.retain(|name| endpoints.contains_key(name));
         self.cold.retain(|name| endpoints.contains_key(name));
-        // Requests at an endpoint that is gone or moved are no longer accounted for.
+        // Drop the accounting of requests on endpoints that were removed or replaced.
         let gone =
             |p: &PlacedRequest| self.endpoints.get(&p.endpoint).is_none_or(|e| e.running == 0);
         let tickets: Vec<Ticket> =
@@ -59,38 +59,38 @@
         }
     }
 
-    /// Takes the data halls that are out of service: their endpoints get nothing at all. What runs
-    /// there goes on.
+    /// Applies the set of data halls that are out of service. Their endpoints get no new requests;
+    /// running requests continue.
     pub fn set_halls_out(&mut self, halls: &HallsOut) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.set_hall_out(halls.contains(&endpoint.spec.hall));
         }
     }
 
-    /// Notes that an endpoint failed to serve.
+    /// Records that an endpoint failed.
     pub fn endpoint_failed(&mut self, name: &str, now: Instant) {
         let Some(endpoint) = self.endpoints.get_mut(name) else { return };
         let Some(until) = endpoint.on_failure(now) else { return };
         if let Some(cold_start) = endpoint.spec.cold_start {
-            // It may have started anew when it is tried again, and says so only later.
+            // It may have restarted by the time of the next attempt, without having reported it yet.
             self.mark_cold(name, until.after(cold_start.lasts), until);
         }
     }
 
-    /// Takes an endpoint's word that it is cold until then.
+    /// Records that an endpoint has reported itself cold until `until`.
     pub fn endpoint_cold(&mut self, name: &str, until: Instant, now: Instant) {
         if now < until {
             self.mark_cold(name, until, now);
         }
     }
 
-    /// Tells the scheduler with whom it shares what cold endpoints bear and limits allow.
+    /// Sets this scheduler's role for sharing cold-start and rate limits.
     pub fn set_sender_role(&mut self, role: SenderRole, now: Instant) {
         self.sender_role = role;
         self.throttle.set_senders(role, now);
     }
 
-    /// An endpoint is cold from `since` on, until then.
+    /// Marks an endpoint as cold from `since` until `until`.
     fn mark_cold(&mut self, name: &str, until: Instant, since: Instant) {
         let phase = self.cold_phase(name, until);
         if let Some(endpoint) = self.endpoints.get_mut(name) {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// The part of the time between two requests after which the first one is due: none for a
-    /// scheduler of all daemons, another one for each daemon and endpoint without it.
+    /// Fraction of the send interval before the first request: zero for the cluster scheduler,
+    /// pseudo-random per daemon and endpoint otherwise.
     fn cold_phase(&self, name: &str, until: Instant) -> f64 {
         let Some(seed) = self.local_seed else { return 0.0 };
         let mut hasher = DefaultHasher::new();
@@ -108,7 +108,7 @@
         hasher.finish() as f64 / u64::MAX as f64
     }
 
-    /// Notes that an endpoint is leaving, or has come back.
+    /// Records that an endpoint is leaving or has returned.
     pub fn endpoint_leaving(&mut self, name: &str, leaving: bool) {
         let Some(endpoint) = self.endpoints.get_mut(name) else { return };
         if leaving {
@@ -123,14 +123,14 @@
         }
     }
 
-    /// Takes a scheduler's word that an endpoint takes so many times as long as others.
+    /// Records how many times slower than its peers an endpoint is, as reported by a scheduler.
     pub fn endpoint_slow(&mut self, name: &str, slowness: f64, now: Instant) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             endpoint.set_reported_slowness(slowness, now);
         }
     }
 
-    /// The endpoints that take longer than others for everything, and how many times as long.
+    /// Returns the endpoints that are slower than the median of their target, with their slowness.
     pub fn slow_endpoints(&self) -> Vec<(Arc<str>, f64)> {
         let measured = |name: &Arc<str>| {
             let speed = self.endpoints.get(name)?.prefill.measured_tokens_per_second()?;
@@ -140,7 +140,7 @@
         for target in self.targets.values() {
             let mut speeds: Vec<_> = target.endpoints.iter().filter_map(measured).collect();
             speeds.sort_by(|a, b| a.1.total_cmp(&b.1));
-            // The fastest of many is one that was measured badly.
+            // The median is more robust than the fastest, which may be a measurement error.
             let Some((_, median)) = speeds.get(speeds.len() / 2).cloned() else { continue };
             let slower = speeds.into_iter().map(|(name, speed)| (name, median / speed));
             slow.extend(slower.take_while(|(_, slowness)| MIN_REPORTED_SLOWNESS < *slowness));
@@ -148,7 +148,7 @@
         slow
     }
 
-    /// Takes a lagged load report.
+    /// Applies a delayed load report.
     pub fn endpoint_report(&mut self, name: &str, report: LoadReport) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             endpoint.on_report(report);
@@ -156,7 +156,7 @@
     }
 }
 
-/// Whether what is known of an endpoint holds for it as it is now.
+/// Whether both specs describe the same run of an endpoint, so that its state remains valid.
 fn is_same_run(known: &EndpointSpec, now: &EndpointSpec) -> bool {
     known.address == now.address && known.born == now.born
 }
--- a/crates/core/src/placement/engine_choice.rs
+++ b/crates/core/src/placement/engine_choice.rs
@@ -1,64 +1,61 @@
-//! The choice of an engine by a daemon that no scheduler answers.
+//! Engine selection by a daemon while no scheduler is available.
 //!
-//! Answers the load of hundreds of daemons that place at the same time, none of which knows what the
-//! others send. A share of each engine for each daemon is less than one prompt there, and the best
-//! engine by equal knowledge is the same one for all. So each daemon draws two engines at random for
-//! each request, slow ones less often, asks both for their loads, takes the better one, and lets it
-//! confirm that it has room if that is in doubt. docs/DECISIONS.md has the ways that were weighed.
+//! Hundreds of daemons may place requests concurrently without knowledge of each other, and would
+//! all pick the same best engine. Each daemon therefore uses the power of two choices: it samples
+//! two engines per request, slow ones less often, queries their loads and takes the cheaper one. If
+//! memory is short there, it reserves a slot first.
 
 use std::sync::Arc;
 
 use super::prefill::prefill_time;
 
-/// Cost of a full memory, in seconds of waiting for prompts to be read: engines with much free memory
-/// push nothing aside. Between 0.2 and 2 s no difference beyond 0.01 of the worth was measured.
+/// Cost of a full KV cache, in seconds of prefill wait.
 const MEMORY_COST_SECONDS: f64 = 0.4;
-/// An engine whose memory would be fuller than this comes last: what runs there grows.
+/// Engines whose KV cache would be fuller than this come last, since running requests still grow.
 const FULL_FRACTION: f64 = 0.9;
-/// An engine whose memory would be fuller than this is asked to keep a place: its report is half a second
-/// old, and it may have none. What has a place goes ahead of all that waits to be read; with places at
-/// every engine the earlier requests waited (worth served in a burst 0.92 in place of 0.89).
+/// Engines whose KV cache would be fuller than this need a reservation, since load reports are up
+/// to half a second old. Lower values let reservations delay requests that queue for prefill.
 const RESERVATION_FRACTION: f64 = 0.7;
 
-/// What an engine tells of its load; true some hundred milliseconds ago.
+/// Load reported by an engine, a few hundred milliseconds old.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EngineLoad {
-    /// Generations in its batch.
+    /// Generations in the batch.
     pub running: u64,
-    /// Generations that wait for the batch.
+    /// Generations queued for the batch.
     pub waiting: u64,
-    /// Prompt tokens that it has not read yet, as far as it tells.
+    /// Prompt tokens that await prefill, as far as reported.
     pub unread_tokens: u64,
-    /// Memory of what runs and waits, in tokens.
+    /// KV cache of running and queued generations, in tokens.
     pub kv_used: u64,
-    /// Its memory, in tokens.
+    /// KV cache capacity, in tokens.
     pub kv_tokens: u64,
-    /// When the run that tells it was started; zero where engines do not tell.
+    /// Start time of the reporting engine run; zero if not reported.
     pub started_at: u64,
 }
 
-/// An engine that a daemon has drawn.
+/// An engine sampled by a daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SampledEndpoint {
-    /// Its name.
+    /// Name of the engine.
     pub endpoint: Arc<str>,
-    /// How many times as long as others it takes, as far as a scheduler has told.
+    /// How many times slower than its peers it is, as last reported by a scheduler.
     pub slowness: f64,
 }
 
 impl EngineLoad {
-    /// Seconds lost by a prompt of this length there.
+    /// Estimated delay of a prompt of this length, in seconds.
     fn cost(&self, prompt_tokens: u64, slowness: f64) -> f64 {
         let prefill = prefill_time(self.unread_tokens).as_secs_f64() * slowness;
         prefill + MEMORY_COST_SECONDS * self.memory_fraction(prompt_tokens)
     }
 
-    /// Whether a prompt of this length would have to wait there for memory.
+    /// Whether a prompt of this length would have to wait for KV cache.
     fn is_full(&self, prompt_tokens: u64) -> bool {
         FULL_FRACTION < self.memory_fraction(prompt_tokens)
     }
 
-    /// Whether it must be asked for a place before a prompt of this length is sent there.
+    /// Whether a slot must be reserved before sending a prompt of this length.
     pub fn needs_reservation(&self, prompt_tokens: u64) -> bool {
         RESERVATION_FRACTION < self.memory_fraction(prompt_tokens)
     }
@@ -68,11 +65,10 @@
     }
 }
 
-/// An engine that was drawn, and its load if it tells.
+/// A sampled engine and its load, if reported.
 pub type Candidate = (SampledEndpoint, Option<EngineLoad>);
 
-/// Brings engines into the order in which to ask them for a place: the better one first. One whose
-/// load is not known comes before those that are full.
+/// Sorts engines by estimated cost, cheapest first. Engines with unknown load come before full ones.
 pub fn sort_by_cost(candidates: &mut [Candidate], prompt_tokens: u64) {
     let key = |(drawn, load): &Candidate| match load {
         Some(load) => {
--- a/crates/core/src/placement/evacuation.rs
+++ b/crates/core/src/placement/evacuation.rs
@@ -1,8 +1,8 @@
-//! Moves running generations away from endpoints that are leaving.
+//! Moves running generations off endpoints that are leaving.
 //!
-//! One planner serves all daemons. Copies from one endpoint queue up on its link, so it moves
-//! one generation at a time, the dearest first, and each endpoint takes one at a time. A
-//! generation leaves its endpoint only after its copy has arrived; that is the daemon's part.
+//! Copies from one endpoint share its link, so each endpoint sends one generation at a time, the
+//! most valuable first, and receives one at a time. The daemon switches a generation over only after
+//! its copy has arrived.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -18,32 +18,31 @@
 };
 use crate::{backoff::Admission, mechanism::Mechanism, units::Instant};
 
-/// A move that was not answered for this long is given up: a copy takes up to half a second,
-/// and an endpoint that leaves is gone two seconds after it said so.
+/// Time after which an unanswered move is abandoned. A copy takes up to half a second, and a leaving
+/// endpoint stops about two seconds after its notice.
 const MOVE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A generation is not asked to move more often than this.
+/// Maximum number of failed moves per generation.
 const MAX_MOVE_FAILURES: u32 = 20;
-/// A generation that failed to move is left alone for this long.
+/// Delay before a failed move is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
-/// How often the planner looks again while anything waits to be moved.
+/// Planning interval while moves are pending.
 const PLANNING_INTERVAL: Duration = Duration::from_millis(20);
-/// One with no more tokens than this to come ends before its copy would arrive.
+/// Generations with no more tokens left than this end before their copy would arrive.
 const MIN_REMAINING_TOKENS: u64 = 32;
-/// Tokens that a generation makes while its endpoint still serves after a notice: 1.5 s, the
-/// shortest notice seen, at 9 ms a token. What ends within them needs no move.
+/// Tokens that a generation produces between the leave notice and the stop of its endpoint, assuming
+/// the shortest notice of 1.5 s. Generations that end within them need no move.
 const NOTICE_TOKENS: u64 = 150;
-/// What a move costs beside its copy, in tokens copied: connections and the restart take 30 ms,
-/// in which a link of 19 Gbit/s copies 500 tokens.
+/// Fixed cost of a move (connection setup and restart), as the equivalent number of copied tokens.
 const MOVE_OVERHEAD_TOKENS: u64 = 500;
 
-/// A running generation that is to go on elsewhere.
+/// A running generation to be moved to another endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Relocation {
     /// The generation.
     pub ticket: Ticket,
-    /// Where it runs.
+    /// Current endpoint.
     pub from: Arc<str>,
-    /// Where it is to go on.
+    /// Destination endpoint.
     pub to: Arc<str>,
 }
 
@@ -58,15 +57,14 @@
 struct FailedMoves {
     count: u32,
     not_before: Instant,
-    /// Endpoints that took no copy of it: those with room by the forecast that refuse once
-    /// refuse again (measured: ten times in a row, until the generation was lost).
+    /// Endpoints that refused a copy; they are likely to refuse again.
     refused_by: Vec<Arc<str>>,
 }
 
-/// Moves on their way and moves that failed.
+/// Active and failed moves.
 #[derive(Debug, Default)]
 pub(super) struct MoveTracker {
-    /// The endpoints that leave: few of many, and looked at after every input.
+    /// Leaving endpoints; a small subset that is examined after every input.
     pub(super) leaving: BTreeSet<Arc<str>>,
     active: HashMap<Ticket, ActiveMove>,
     failures: HashMap<Ticket, FailedMoves>,
@@ -74,7 +72,7 @@
 }
 
 impl MoveTracker {
-    /// Forgets a generation that has ended.
+    /// Removes a generation that has ended.
     pub(super) fn forget(&mut self, ticket: Ticket) {
         self.active.remove(&ticket);
         self.failures.remove(&ticket);
@@ -93,7 +91,7 @@
 }
 
 impl Scheduler {
-    /// The moves to begin now.
+    /// Returns the moves to start now.
     pub fn plan_relocations(&mut self, now: Instant) -> Vec<Relocation> {
         self.moves.next_plan = now.after(PLANNING_INTERVAL);
         self.expire_moves(now);
@@ -108,23 +106,23 @@
         moves
     }
 
-    /// When [`Scheduler::plan_relocations`] must be called again even without other input.
+    /// Time at which [`Scheduler::plan_relocations`] must be called even without other input.
     pub(super) fn next_plan_at(&self) -> Option<Instant> {
         let waiting = self.draining_endpoints().next().is_some() || self.handover.has_waiting();
         waiting.then_some(self.moves.next_plan)
     }
 
-    /// Endpoints that leave and still run what can be moved.
+    /// Leaving endpoints that still run generations that can be moved.
     fn draining_endpoints(&self) -> impl Iterator<Item = &EndpointState> {
         let moves = self.limits.disabled.allows(Mechanism::Evacuation);
         let leaving = self.moves.leaving.iter().filter_map(|name| self.endpoints.get(name));
-        // One that has come back under its name at another address no longer leaves.
+        // An endpoint that has returned at another address under the same name is not leaving.
         leaving.filter(move |state| {
             moves && state.health == Health::Leaving && state.spec.moves && 0 < state.running
         })
     }
 
-    /// Notes where a generation runs after a move, which may have failed.
+    /// Records the endpoint of a generation after a move; `done` is false if the move failed.
     pub fn on_relocated(&mut self, ticket: Ticket, at: &str, done: bool, now: Instant) {
         let at: Arc<str> = at.into();
         let ended = self.moves.active.remove(&ticket);
@@ -158,14 +156,14 @@
         }
     }
 
-    /// Begins the move of one generation away from an endpoint.
+    /// Starts the move of one generation off an endpoint.
     fn start_next_move(&mut self, source: &Arc<str>, now: Instant) -> Option<Relocation> {
         let ticket = self.most_valuable_at(source, now)?;
         let to = self.choose_destination(ticket, source, now)?;
         self.start_move(ticket, &to, now)
     }
 
-    /// Begins a move.
+    /// Starts a move.
     pub(super) fn start_move(
         &mut self,
         ticket: Ticket,
@@ -185,7 +183,7 @@
         Some(Relocation { ticket, from, to: to.clone() })
     }
 
-    /// The generation at an endpoint whose move saves most for the time that it takes.
+    /// Returns the generation on an endpoint with the highest gain per copied token.
     fn most_valuable_at(&self, source: &Arc<str>, now: Instant) -> Option<Ticket> {
         let has_enough_left =
             |placed: &PlacedRequest| placed.tokens + MIN_REMAINING_TOKENS < placed.req.max_tokens;
@@ -202,8 +200,8 @@
             .map(|(_, ticket)| ticket)
     }
 
-    /// What moving a generation is expected to save, for each token copied: its worth when it
-    /// ends, unless it ends by itself before its endpoint does.
+    /// Expected gain of a move per copied token: the value of the completed generation, weighted by the
+    /// probability that it outlives its endpoint.
     fn move_gain(&self, placed: &PlacedRequest) -> f64 {
         if !self.limits.disabled.allows(Mechanism::MoveOrder) {
             return 0.0;
@@ -217,8 +215,8 @@
         value * outlives_notice / copied as f64
     }
 
-    /// Where a generation can go on. A copy to another data hall takes twice as long, so an
-    /// endpoint nearby is taken if it has room.
+    /// Selects the destination of a generation. Endpoints in the same data hall are preferred, since
+    /// copies to other halls take about twice as long.
     fn choose_destination(
         &mut self,
         ticket: Ticket,
@@ -243,12 +241,12 @@
                     && !self.moves.is_busy(&state.name)
             })
             .collect();
-        // Equal endpoints are told apart by name, so that a run can be repeated.
+        // Sort for deterministic runs.
         open.sort_by(|a, b| a.name.cmp(&b.name));
         let is_near = |state: &EndpointState| {
             !disabled.allows(Mechanism::NearDestinations) || Some(&state.spec.hall) == hall
         };
-        // One that refused a copy of it is asked again only if no other has room.
+        // Endpoints that refused a copy are retried only if no other has capacity.
         for (by_near, by_refused) in [(true, false), (false, false), (true, true), (false, true)] {
             let group: Vec<&EndpointState> = open
                 .iter()
--- a/crates/core/src/placement/expiry.rs
+++ b/crates/core/src/placement/expiry.rs
@@ -1,4 +1,4 @@
-//! Requests that are given up: those that have waited too long, and those that nothing will serve soon.
+//! Rejection of queued requests that have expired or cannot be served.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 };
 
 impl Scheduler {
-    /// Gives up what has waited for as long as it may.
+    /// Rejects requests that have exceeded their maximum wait.
     pub(super) fn expire(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some(expiry) = self.expiries.first().copied() {
@@ -33,8 +33,8 @@
         actions
     }
 
-    /// Gives up what waits for a target all of whose data halls are out of service: operators give
-    /// them back in minutes.
+    /// Rejects requests for targets whose data halls are all out of service, since operators take
+    /// minutes to restore them.
     pub(super) fn give_up_out_of_service(&mut self, now: Instant) -> Vec<Action> {
         let waited_for = self.targets.iter().filter(|(_, target)| 0 < target.queue.len());
         let out: Vec<EndpointTarget> = waited_for
@@ -59,7 +59,8 @@
         actions
     }
 
-    /// Whether all endpoints of a target that do not leave are in data halls that are out of service.
+    /// Whether every endpoint of a target, other than leaving ones, is in a data hall that is out of
+    /// service.
     fn is_target_out_of_service(&self, target: &EndpointTarget) -> bool {
         let names = self.targets.get(target).map_or(&[][..], |target| &target.endpoints);
         let states = names.iter().filter_map(|name| self.endpoints.get(name));
@@ -67,7 +68,7 @@
         staying.peek().is_some() && staying.all(EndpointState::is_out_of_service)
     }
 
-    /// The error for a request whose target no endpoint serves now.
+    /// Error for a request whose target has no usable endpoint.
     pub(super) fn no_endpoint_error(&self, target: &EndpointTarget) -> RequestError {
         let name = target.name();
         if self.is_target_out_of_service(target) {
@@ -78,7 +79,7 @@
     }
 }
 
-/// The error for a request that had no turn, or would have none in time.
+/// Error for a request that was or would be queued for too long.
 pub(super) fn overloaded_error(message: &str, wait: Duration) -> RequestError {
     const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
     let mut error = RequestError::new(ErrorKind::Overloaded, message);
--- a/crates/core/src/placement/fixture.rs
+++ b/crates/core/src/placement/fixture.rs
@@ -1,4 +1,4 @@
-//! Engines and requests that the tests of placement share.
+//! Shared fixtures of the placement tests.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
     units::Instant,
 };
 
-/// The time this many milliseconds after the start.
+/// Time in milliseconds since the start of the test.
 pub(super) fn ms(ms: u64) -> Instant {
     Instant(ms * 1_000)
 }
 
-/// Engines `e0` and so on, one in each of these data halls.
+/// Engines `e0`, `e1`, ..., one per entry of `halls`.
 pub(super) fn engines(halls: &[&str], kv_tokens: u64) -> Endpoints {
     let spec = |(i, hall): (usize, &&str)| {
         let spec = EndpointSpec {
@@ -32,7 +32,7 @@
     halls.iter().enumerate().map(spec).collect()
 }
 
-/// A chat with a model that every engine runs.
+/// A chat request for the model that every engine serves.
 pub(super) fn request(number: u64, prompt_tokens: u64, max_tokens: u64) -> Request {
     Request {
         ticket: Ticket { entry: 1, number },
@@ -53,7 +53,7 @@
     }
 }
 
-/// A scheduler of engines in these data halls, with this much memory each.
+/// A scheduler with one engine per entry of `halls`, each with `kv_tokens` of KV cache.
 pub(super) fn scheduler(halls: &[&str], kv_tokens: u64) -> Scheduler {
     let policy = Box::new(ForecastPolicy::default());
     let mut scheduler = Scheduler::new(SchedulerLimits::default(), policy);
--- a/crates/core/src/placement/forecast.rs
+++ b/crates/core/src/placement/forecast.rs
@@ -1,27 +1,24 @@
-//! Learned distributions of output length, conditional on the tokens so far.
+//! Learned distributions of output length, conditional on the tokens produced so far.
 
 use std::{collections::HashMap, sync::Arc};
 
-/// Look-ahead distances, in tokens of one stream.
-///
-/// At 24 tokens a second these are about 1, 5, 21 and 85 seconds.
+/// Look-ahead distances of the memory forecast, in output tokens of one stream.
 pub const HORIZONS: [u64; 4] = [32, 128, 512, 2048];
 
-/// Lengths are counted in buckets that grow by a quarter octave.
+/// Histogram resolution: four buckets per doubling of length.
 const BUCKETS_PER_OCTAVE: f64 = 4.0;
 const BUCKETS: usize = 72;
-/// Weight of the prior that lengths are spread evenly over octaves.
+/// Initial count per bucket: a weak prior, uniform over the logarithm of length.
 const PRIOR_COUNT: f64 = 0.05;
-/// Counts are halved at this sum, so that old lengths fade.
+/// All counts are halved when their sum reaches this, so that old lengths decay.
 const DECAY_THRESHOLD: f64 = 4_000.0;
-/// A workspace's own lengths are used from this many on.
+/// Number of samples from which a workspace's own distribution is used.
 const MIN_CLASS_SAMPLES: f64 = 50.0;
 
-/// Tokens out weigh this much against tokens of the prompt when the users count the worth of
-/// a generation.
+/// Value of an output token relative to a prompt token.
 const OUTPUT_TOKEN_WEIGHT: f64 = 10.0;
 
-/// What a generation of this size is worth, in tokens of a prompt.
+/// Value of a generation of this size, in prompt tokens.
 pub(crate) fn generation_value(prompt_tokens: u64, output: f64) -> f64 {
     prompt_tokens as f64 + OUTPUT_TOKEN_WEIGHT * output
 }
@@ -37,11 +34,11 @@
     end.max(tokens + 1)
 }
 
-/// The distribution of one class of lengths.
+/// Histogram of output lengths.
 #[derive(Debug, Clone)]
 pub struct LengthDistribution {
     counts: [f64; BUCKETS],
-    /// Sum of the counts of each bucket and all above it.
+    /// Suffix sums of `counts`.
     above: [f64; BUCKETS + 1],
 }
 
@@ -55,12 +52,12 @@
 }
 
 impl LengthDistribution {
-    /// Number of lengths seen, faded.
+    /// Number of recorded lengths, after decay.
     pub fn weight(&self) -> f64 {
         self.above[0]
     }
 
-    /// Counts one finished answer.
+    /// Records the length of one complete response.
     pub fn record(&mut self, tokens: u64) {
         let bucket = bucket(tokens);
         self.counts[bucket] += 1.0;
@@ -75,14 +72,14 @@
         }
     }
 
-    /// Chance that an answer with `so_far` tokens goes on beyond `so_far + ahead`.
+    /// Probability that a response with `so_far` tokens exceeds `so_far + ahead` tokens.
     pub fn probability_beyond(&self, so_far: u64, ahead: u64) -> f64 {
         let here = self.at_least(so_far);
         if here <= 0.0 { 0.0 } else { (self.at_least(so_far + ahead) / here).min(1.0) }
     }
 
-    /// Tokens that an answer with `so_far` tokens is expected to bring yet, if it ends with
-    /// `most` at the latest.
+    /// Expected number of further tokens of a response with `so_far` tokens, which ends at `most` at
+    /// the latest.
     pub(crate) fn expected_remaining(&self, so_far: u64, most: u64) -> f64 {
         let here = self.at_least(so_far);
         if here <= 0.0 {
@@ -98,7 +95,7 @@
         sum / here
     }
 
-    /// Weight of lengths of at least `tokens`, interpolated within its bucket.
+    /// Weight of lengths of at least `tokens`, interpolated within the bucket.
     fn at_least(&self, tokens: u64) -> f64 {
         let position = (tokens.max(1) as f64).log2() * BUCKETS_PER_OCTAVE;
         let bucket = bucket(tokens);
@@ -113,14 +110,14 @@
     }
 }
 
-/// The key of a workspace's own distribution.
+/// Key of a distribution per workspace and kind.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct LengthClass {
     workspace: Arc<str>,
     kind: Arc<str>,
 }
 
-/// Distributions by kind, and by workspace and kind once enough is known.
+/// Length distributions per kind, and per workspace and kind once there are enough samples.
 #[derive(Debug, Default)]
 pub struct LengthForecast {
     by_kind: HashMap<Arc<str>, LengthDistribution>,
@@ -129,14 +126,14 @@
 }
 
 impl LengthForecast {
-    /// Counts one finished answer.
+    /// Records the length of one complete response.
     pub fn record(&mut self, workspace: &Arc<str>, kind: &Arc<str>, tokens: u64) {
         self.by_kind.entry(kind.clone()).or_default().record(tokens);
         let class = LengthClass { workspace: workspace.clone(), kind: kind.clone() };
         self.by_class.entry(class).or_default().record(tokens);
     }
 
-    /// The best known distribution for a request.
+    /// Returns the most specific distribution with enough samples.
     pub fn distribution(&self, workspace: &Arc<str>, kind: &Arc<str>) -> &LengthDistribution {
         let class = LengthClass { workspace: workspace.clone(), kind: kind.clone() };
         match self.by_class.get(&class) {
--- a/crates/core/src/placement/handover.rs
+++ b/crates/core/src/placement/handover.rs
@@ -1,11 +1,8 @@
-//! Hands young generations over: an endpoint that has read a prompt and has many more to read
-//! passes the generation on to one that reads less, where it is held up less.
+//! Hand-over of generations after prefill, from endpoints with much pending prefill to endpoints
+//! with less.
 //!
-//! Only the time just after the prompt was read is used: the copy is smallest then, and the
-//! gain largest. Generations at endpoints that leave go first on every link.
-//!
-//! Takes the time between events of long answers from 34.9 to 33.1 ms and the streams lost a day
-//! from 56.1 to 54.6 (48 paired days), for three times as many moves.
+//! Generations are handed over only right after their first token, when the KV cache is smallest
+//! and the gain largest. Evacuations of leaving endpoints take precedence on every link.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -18,28 +15,27 @@
 };
 use crate::{backoff::Admission, units::Instant};
 
-/// What a hand-over must save to be worth its pause, its use of the links and the risk that the
-/// endpoint leaves meanwhile: seconds by which the generation is held up. With 0.1 a quarter more is
-/// moved and chats take 0.1 s longer, with 0.8 a third is moved and they take 0.25 s longer.
+/// Minimum decode delay in seconds that a hand-over must save, to outweigh the pause, the link usage
+/// and the risk that the destination leaves.
 pub(super) const HANDOVER_COST_SECONDS: f64 = 0.4;
-/// One that has waited this long for its links stays where it is.
+/// Maximum wait for a free link.
 const MAX_LINK_WAIT: Duration = Duration::from_millis(400);
 
-/// A generation that was read and may go on elsewhere.
+/// A generation that has just been prefilled and may be handed over.
 #[derive(Debug, Clone, Copy)]
 struct HandoverCandidate {
     ticket: Ticket,
     until: Instant,
 }
 
-/// Generations that wait for a hand-over, the oldest first.
+/// Candidates for a hand-over, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct HandoverQueue {
     waiting: VecDeque<HandoverCandidate>,
 }
 
 impl HandoverQueue {
-    /// Notes that a generation has made its first token.
+    /// Adds a generation that has produced its first token.
     pub(super) fn on_first_token(&mut self, ticket: Ticket, now: Instant) {
         self.waiting.push_back(HandoverCandidate { ticket, until: now.after(MAX_LINK_WAIT) });
     }
@@ -50,7 +46,7 @@
 }
 
 impl Scheduler {
-    /// The hand-overs to begin now.
+    /// Returns the hand-overs to start now.
     pub(super) fn plan_handovers(&mut self, now: Instant) -> Vec<Relocation> {
         let mut begun = Vec::new();
         for _ in 0..self.handover.waiting.len() {
@@ -65,7 +61,7 @@
         begun
     }
 
-    /// Whether a young generation should go on elsewhere.
+    /// Decides whether a generation should continue on another endpoint.
     fn handover_decision(&mut self, ticket: Ticket, now: Instant) -> Decision {
         let Some(placed) = self.placed.get(&ticket) else { return Decision::Stay };
         let Some(source) = self.endpoints.get(&placed.endpoint) else { return Decision::Stay };
@@ -104,12 +100,12 @@
     }
 }
 
-/// What becomes of a young generation.
+/// Decision on a hand-over candidate.
 enum Decision {
-    /// It stays where it is.
+    /// Continue on the current endpoint.
     Stay,
-    /// The links are in use.
+    /// Retry when the links are free.
     Wait,
-    /// It goes on there.
+    /// Continue on this endpoint.
     Move(Arc<str>),
 }
--- a/crates/core/src/placement/isolation.rs
+++ b/crates/core/src/placement/isolation.rs
@@ -1,8 +1,8 @@
-//! Requests that run apart from others: the scheduler keeps an engine for each while it begins.
+//! Isolated requests: each starts on an engine where no other request starts at the same time.
 //!
-//! A request under which engines have ended may end the next one too, with all that runs there. It goes
-//! to the engine where the fewest others would be lost, once nothing else is about to begin there, so that
-//! the engine's end says which request it was. Until it has begun well nothing else is sent there.
+//! A request that has crashed engines before may crash the next one and all that runs there. It is
+//! placed on the least loaded engine once no other request there awaits its first token, so that a
+//! crash can be attributed to it. The engine accepts other requests after `ESTABLISHED_TOKENS` tokens.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -11,21 +11,20 @@
 };
 use crate::units::Instant;
 
-/// Tokens after which a request has begun well: eight events of four tokens. Engines that ended under
-/// a request did so before its first event; a second of tokens is many times that.
+/// Output tokens after which a request is considered safe: eight events of four tokens. Known
+/// crashes happen before the first event.
 const ESTABLISHED_TOKENS: u64 = 32;
-/// At most one in so many engines of a model is kept for such requests, so that the others are served; one
-/// at least, if there are two.
+/// At most one engine in this many is reserved at a time, but always at least one.
 const ENGINES_PER_RESERVATION: usize = 4;
 
-/// A request that waits for an engine of its own.
+/// An isolated request that is queued for an engine.
 #[derive(Debug)]
 struct WaitingRequest {
     req: Request,
     arrived: Instant,
 }
 
-/// The requests that run apart, and the engines that are kept for them.
+/// Queued isolated requests and engine reservations.
 #[derive(Debug, Default)]
 pub(super) struct IsolatedRequests {
     waiting: Vec<WaitingRequest>,
@@ -39,13 +38,13 @@
 }
 
 impl Scheduler {
-    /// Whether any request runs apart or waits for it: then the first tokens of others let it start, and its
-    /// own let others.
+    /// Whether isolated requests are queued or hold a reservation. If so, first tokens can unblock
+    /// queued requests and require a new decision.
     pub(crate) fn has_isolated(&self) -> bool {
         !self.isolated.waiting.is_empty() || !self.isolated.reservations.is_empty()
     }
 
-    /// Starts the requests that run apart and have an engine that is ready.
+    /// Starts the queued isolated requests whose engine is ready.
     pub(super) fn start_isolated(&mut self, now: Instant) -> Vec<Action> {
         let tickets: Vec<Ticket> = self.isolated.waiting.iter().map(|w| w.req.ticket).collect();
         tickets.into_iter().filter_map(|ticket| self.try_start_isolated(ticket, now)).collect()
@@ -67,7 +66,7 @@
         Some(Action::Start { ticket, endpoint, priority })
     }
 
-    /// The engine that is kept for a request, or could be.
+    /// Returns the engine reserved for a request, or the best one to reserve.
     fn isolation_engine(
         &self,
         ticket: Ticket,
@@ -99,7 +98,7 @@
         Some(least_loaded.name.clone())
     }
 
-    /// Keeps an engine for a request, unless it is the only one of its model.
+    /// Reserves an engine for a request, unless it is the only one of its model.
     fn reserve(&mut self, ticket: Ticket, endpoint: &Arc<str>) {
         if self.isolated.reservations.get(&ticket) == Some(endpoint) {
             return;
@@ -116,8 +115,8 @@
         }
     }
 
-    /// Whether the request that waits at this place may start at the engine that is kept for it: it has
-    /// room, and nothing else is about to begin there.
+    /// Whether the queued request at this index may start on its engine: there is capacity and no
+    /// other request awaits its first token.
     fn is_ready_for_isolated(&mut self, at: usize, endpoint: &Arc<str>, now: Instant) -> bool {
         let Some(state) = self.endpoints.get(endpoint) else { return false };
         let waiting = &self.isolated.waiting[at];
@@ -128,14 +127,14 @@
         is_exclusive && self.policy.choose(&demand, &[state], now).is_some()
     }
 
-    /// Notes the tokens of a request: once it has begun well, its engine takes others again.
+    /// Releases the reservation of a request once it has produced enough tokens.
     pub(super) fn on_isolated_progress(&mut self, ticket: Ticket, tokens: u64) {
         if ESTABLISHED_TOKENS <= tokens {
             self.release_reservation(ticket);
         }
     }
 
-    /// Forgets a request that has ended, or waits no more.
+    /// Removes a request that has ended or left the queue.
     pub(super) fn forget_isolated(&mut self, ticket: Ticket) {
         self.isolated.waiting.retain(|waiting| waiting.req.ticket != ticket);
         self.release_reservation(ticket);
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,7 +1,7 @@
-//! Placement: which request runs where, and which one waits or is given up.
+//! Request placement: chooses an endpoint for each request, queues it or rejects it.
 //!
-//! [`Scheduler`] keeps the queue, the endpoints and the running streams of its
-//! targets. It is soft state: it can be rebuilt from what daemons report.
+//! [`Scheduler`] holds the queues, endpoints and running requests of its targets.
+//! Its state is soft and can be rebuilt from the reports of the daemons.
 
 mod accounting;
 mod backoff;
@@ -66,81 +66,81 @@
     sender_role::SenderRole,
 };
 
-/// Ranks that one tier takes up; kinds of request are told apart within them.
+/// Ranks per tier; request kinds are ordered within a tier.
 pub const RANKS_PER_TIER: u64 = 100;
 
-/// The rank of a request: first by its tier, then by the weight of its kind, so that within a
-/// tier a long summary yields to chats. The difference between kinds is small against the
-/// ageing of waiting requests, and no kind starves.
+/// Returns the queue rank of a request: tier first, then the weight of its kind. Ageing outweighs
+/// the difference between kinds, so no kind starves.
 pub fn rank(tier_rank: u64, kind_weight: u64) -> u64 {
     tier_rank * RANKS_PER_TIER + RANKS_PER_TIER - kind_weight.min(RANKS_PER_TIER)
 }
 
-/// Names one request at the scheduler; unique per entry daemon incarnation.
+/// Identifies a request at the scheduler, unique per incarnation of the entry daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket {
-    /// The daemon (its link) that asks.
+    /// Link of the entry daemon that sent the request.
     pub entry: u64,
-    /// Number given by that daemon.
+    /// Number assigned by that daemon.
     pub number: u64,
 }
 
-/// Hash of the start of a prompt; equal prefixes may share cached memory.
+/// Hash of a prompt prefix; requests with equal hashes can share cached KV blocks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct PrefixHash(pub u64);
 
-/// What the scheduler needs to know of one request.
+/// The properties of a request that placement depends on.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Its name.
+    /// Identifier of the request.
     pub ticket: Ticket,
-    /// Who asks.
+    /// Workspace that the request belongs to.
     pub workspace: Arc<str>,
-    /// Place in the order of service; a lower rank is served first. See [`rank`].
+    /// Queue rank; lower ranks are served first. See [`rank`].
     pub rank: u64,
-    /// Fair share of the workspace within its tier.
+    /// Fair-share weight of the workspace within its tier.
     pub share: u64,
-    /// Most requests of the workspace that run at once.
+    /// Maximum number of concurrently running requests of the workspace.
     pub max_running: u64,
-    /// Most requests of the workspace that wait at once.
+    /// Maximum number of queued requests of the workspace.
     pub max_waiting: u64,
-    /// Kind of request; lengths are learned by kind and workspace.
+    /// Request kind; output lengths are learned per workspace and kind.
     pub kind: Arc<str>,
-    /// The model or service asked for.
+    /// Requested model or service.
     pub target: EndpointTarget,
-    /// Length of the prompt in tokens, estimated; zero for services.
+    /// Estimated prompt length in tokens; zero for services.
     pub prompt_tokens: u64,
-    /// Hash of the prompt's start.
+    /// Hash of the prompt prefix.
     pub prefix: PrefixHash,
-    /// Most tokens that the answer may have.
+    /// Upper bound on the output length in tokens.
     pub max_tokens: u64,
-    /// Longest time in the queue.
+    /// Maximum time in the queue.
     pub max_wait: Duration,
-    /// Time within which its first token should come, counted as `max_wait` is.
+    /// Target time to first token, counted from the same instant as `max_wait`.
     pub ttft_target: Duration,
-    /// Endpoints that it should not be sent to again: they have rejected it, or failed.
+    /// Endpoints that rejected or failed this request; used only if no other endpoint is admissible.
     pub avoid: Vec<Arc<str>>,
-    /// Whether it runs apart from others, since endpoints have ended under it.
+    /// Whether no other request may start on its endpoint at the same time, because endpoints
+    /// have crashed while running it.
     pub isolated: bool,
 }
 
-/// A decision of the scheduler.
+/// A scheduling decision.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Run the request at this endpoint.
+    /// Run the request on this endpoint.
     Start {
         /// The request.
         ticket: Ticket,
         /// Name of the endpoint.
         endpoint: Arc<str>,
-        /// Priority for the engine; a lower number yields last.
+        /// Scheduling priority on the engine; lower numbers are preempted last.
         priority: u64,
     },
-    /// Tell the caller at once that the request is not run.
+    /// Return an error to the caller without running the request.
     GiveUp {
         /// The request.
         ticket: Ticket,
-        /// The answer.
+        /// Error for the caller.
         error: RequestError,
     },
 }
--- a/crates/core/src/placement/policy/baselines.rs
+++ b/crates/core/src/placement/policy/baselines.rs
@@ -1,9 +1,9 @@
-//! Policies to compare with.
+//! Simple policies that serve as baselines in comparisons.
 
 use super::{Demand, Policy, argmin, has_slot};
 use crate::{placement::endpoint::EndpointState, units::Instant};
 
-/// The next endpoint in turn that has a free slot.
+/// Takes the next endpoint in turn that has a free slot.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: usize,
@@ -22,7 +22,7 @@
     }
 }
 
-/// The endpoint with the fewest requests.
+/// Takes the endpoint with the fewest requests.
 #[derive(Debug, Default)]
 pub struct LeastOutstanding;
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// The first endpoint whose memory holds the prompt now, without forecast.
+/// Takes the first endpoint whose free KV cache holds the prompt, without a forecast.
 #[derive(Debug, Default)]
 pub struct FirstFit;
 
--- a/crates/core/src/placement/policy/forecast.rs
+++ b/crates/core/src/placement/policy/forecast.rs
@@ -1,10 +1,4 @@
-//! Placement by forecast of memory and by what a request holds up.
-//!
-//! Weighing the reading of prompts took the time between events of long answers from 36.3 to 34.9 ms
-//! and the streams lost a day from 58.5 to 56.1 (48 paired days of 18 engines, a sixth of whose time
-//! went to reading). With 122 engines, a third of whose time goes to reading, first events at p99 went
-//! from 1.9 and 2.3 s to 1.1 and 1.0 s by the exact account of unread prompts, and chats as a whole from
-//! 5.57 to 5.20 s by what follows from it (`trayswitch-lab fleet --leaving`, 8 seeds).
+//! Placement by forecast KV cache use and by the delay that a request causes and incurs.
 
 use std::time::Duration;
 
@@ -18,42 +12,39 @@
     units::Instant,
 };
 
-/// Cost of a memory that is forecast to be full, in seconds by which a generation is held up. More
-/// spreads long answers to engines that read (0.67: 0.05 s a chat, 2: 0.3 s).
+/// Cost of a KV cache that is forecast to be full, in seconds of delay. Higher values move long
+/// responses to engines that are busy with prefill.
 const MEMORY_COST_SECONDS: f64 = 0.3;
 
-/// A second until the first token counts for so many: a prompt also holds up those that come to its
-/// queue after it. With 1 the median of the first event is 0.8 s in place of 0.5, with 5 chats take as
-/// long as with 2.5.
+/// Weight of a second of time to first token. Above 1 because a prompt also delays the prompts queued
+/// after it.
 const TTFT_WEIGHT: f64 = 2.5;
 
-/// Cost of a first token that comes too late, in seconds by which a generation is held up: more than
-/// any wait, so that it is avoided wherever that is possible.
+/// Cost in seconds of missing the TTFT target; exceeds any wait, so that it is avoided if possible.
 const LATE_TTFT_COST_SECONDS: f64 = 10.0;
 
-/// Part by which equal endpoints' paces differ: by how many run there, by progress that is told
-/// in steps, and by prompts that are longer than reckoned. Without it, work is steered about by
-/// noise (worth -0.003 in 48 paired days, within their interval).
+/// Relative difference in token latency that is tolerated as noise: load, stepwise progress reports
+/// and errors in prompt length estimates.
 const TOKEN_LATENCY_TOLERANCE: f64 = 0.5;
 
-/// Admits while the forecast of memory stays under capacity with a margin, and
-/// takes the endpoint where the least time is lost, by the request and by what runs there.
+/// Admits a request if the forecast KV cache use stays below capacity by a margin, and selects the
+/// endpoint with the lowest total delay for the request and the generations running there.
 #[derive(Debug, Clone)]
 pub struct ForecastPolicy {
-    /// Standard deviations of forecast memory kept free.
+    /// Safety margin in standard deviations of the forecast KV cache use.
     pub margin: f64,
-    /// Value of a cached prefix, in parts of the prompt's memory.
+    /// Value of a cached prefix, relative to the KV cache fraction it occupies.
     pub prefix_value: f64,
-    /// Weight of the number of requests against that of memory.
+    /// Weight of slot utilization relative to KV cache utilization.
     pub load_value: f64,
     /// Mechanisms that are switched off.
     pub disabled: Disabled,
 }
 
-/// What the endpoints to choose from have in common.
+/// Best speeds among the candidate endpoints.
 struct Baseline {
     speeds: SpeedBaseline,
-    /// Seconds that a token takes where it takes least.
+    /// Lowest expected seconds per token.
     min_token_seconds: f64,
 }
 
@@ -69,12 +60,12 @@
 }
 
 impl ForecastPolicy {
-    /// The policy without these mechanisms.
+    /// Creates the policy without the disabled mechanisms.
     pub fn without(disabled: Disabled) -> ForecastPolicy {
         ForecastPolicy { disabled, ..ForecastPolicy::default() }
     }
 
-    /// The fullest that the endpoint is forecast to be, in parts of its memory.
+    /// Peak KV cache utilization of the endpoint over all horizons, including this request.
     fn memory_fraction(&self, demand: &Demand, endpoint: &EndpointState) -> f64 {
         let total = &endpoint.total;
         let margin = self.if_enabled(Mechanism::ForecastMargin, self.margin);
@@ -87,16 +78,16 @@
         max_used / endpoint.spec.kv_tokens as f64
     }
 
-    /// Whether a request may be sent there: it has room, and the first token would come in time.
+    /// Whether the endpoint has capacity and would meet the TTFT target.
     pub(super) fn fits(&self, demand: &Demand, endpoint: &EndpointState, now: Instant) -> bool {
         let memory_fits =
             endpoint.spec.kv_tokens == 0 || self.memory_fraction(demand, endpoint) <= 1.0;
-        // An empty endpoint takes even what the forecast finds too large.
+        // An idle endpoint accepts requests of any forecast size.
         let has_room = has_slot(endpoint) && (memory_fits || endpoint.running == 0);
         has_room && meets_ttft_target(demand, endpoint, now)
     }
 
-    /// Seconds lost at this endpoint.
+    /// Total cost of this endpoint in seconds, or in weighted seconds with value weights.
     fn cost(
         &self,
         demand: &Demand,
@@ -125,7 +116,7 @@
         demand.memory.value * own + self.if_enabled(Mechanism::ReadingHarm, others)
     }
 
-    /// Seconds lost before the first token.
+    /// Cost of the time to first token.
     fn ttft_cost(&self, demand: &Demand, endpoint: &EndpointState, now: Instant) -> f64 {
         let first = expected_ttft(demand, endpoint, now).as_secs_f64();
         let target = demand.ttft_target.as_secs_f64();
@@ -134,7 +125,7 @@
             + self.if_enabled(Mechanism::LateFirstToken, late)
     }
 
-    /// Seconds lost between the tokens.
+    /// Cost of slow decoding, in seconds.
     fn decode_cost(
         &self,
         demand: &Demand,
@@ -150,7 +141,7 @@
         } else {
             slow_decode
         };
-        // What neither the prompts that it reads nor its own speed explain.
+        // Slowdown that neither prefill load nor inherent speed explains.
         let explained = baseline.speeds.slowness(endpoint, now) - 1.0;
         let slowdown = endpoint.token_latency.slowdown(baseline.speeds.token_seconds, now);
         let unexplained = (slowdown - explained - TOKEN_LATENCY_TOLERANCE).max(0.0);
@@ -159,7 +150,7 @@
             + self.if_enabled(Mechanism::Pace, slow)
     }
 
-    /// A part of the cost, unless its mechanism is switched off.
+    /// Returns `cost`, or zero if its mechanism is disabled.
     fn if_enabled(&self, mechanism: Mechanism, cost: f64) -> f64 {
         if self.disabled.allows(mechanism) { cost } else { 0.0 }
     }
@@ -186,15 +177,14 @@
     }
 }
 
-/// Whether the first token would come in time, or late wherever it is sent.
+/// Whether the first token would arrive in time, or would be late even on an idle endpoint.
 fn meets_ttft_target(demand: &Demand, endpoint: &EndpointState, now: Instant) -> bool {
     let target = demand.ttft_target;
     let always_late = target < endpoint.prefill.time_for(demand.prompt_tokens);
     demand.prompt_tokens == 0 || always_late || expected_ttft(demand, endpoint, now) <= target
 }
 
-/// Time until the first token of a request that is sent there now (measured: 90% come within 1.3 times
-/// this, also where engines read all the time).
+/// Expected time to first token of a request that is sent now.
 fn expected_ttft(demand: &Demand, endpoint: &EndpointState, now: Instant) -> Duration {
     endpoint.prefill.remaining_time(now) + endpoint.prefill.time_for(demand.prompt_tokens)
 }
--- a/crates/core/src/placement/policy/mod.rs
+++ b/crates/core/src/placement/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Policies that choose an endpoint for the request at the head of the queue.
+//! Policies that select an endpoint for the request at the head of the queue.
 
 mod baselines;
 mod forecast;
@@ -18,23 +18,23 @@
 };
 use crate::units::Instant;
 
-/// What a request needs of the endpoint that is to run it.
+/// Resources that a request needs on its endpoint.
 #[derive(Debug, Clone)]
 pub struct Demand {
-    /// Forecast of its memory.
+    /// Forecast KV cache use.
     pub(crate) memory: MemoryDemand,
-    /// Prompt tokens that must be read there; none where the memory is moved.
+    /// Prompt tokens to prefill; zero if the KV cache is copied from another endpoint.
     pub(crate) prompt_tokens: u64,
-    /// Start of the prompt.
+    /// Hash of the prompt prefix.
     pub(crate) prefix: PrefixHash,
-    /// Tokens that it is expected to make.
+    /// Expected number of output tokens.
     pub(crate) output: f64,
-    /// Time within which its first token should come.
+    /// Time left until the first token is due.
     pub(crate) ttft_target: Duration,
 }
 
 impl Demand {
-    /// The work of a request that begins.
+    /// Demand of a request that has not started.
     pub(crate) fn new(req: &Request, distribution: &LengthDistribution) -> Demand {
         let output = distribution.expected_remaining(0, req.max_tokens);
         let mut memory = MemoryDemand::forecast(distribution, req.prompt_tokens, 0, req.max_tokens);
@@ -49,12 +49,12 @@
     }
 }
 
-/// Chooses where a request runs.
+/// Selects the endpoint of a request.
 pub trait Policy: Send {
-    /// Name in reports.
+    /// Name used in reports.
     fn name(&self) -> &'static str;
 
-    /// Index of the chosen endpoint, or `None` to let the request wait.
+    /// Returns the index of the selected endpoint, or `None` to keep the request queued.
     fn choose(
         &mut self,
         demand: &Demand,
@@ -67,7 +67,7 @@
     endpoint.load() < endpoint.spec.slots
 }
 
-/// Index of the least key among endpoints that pass the filter.
+/// Index of the endpoint with the lowest key among those that pass the filter.
 fn argmin(
     endpoints: &[&EndpointState],
     fits: impl Fn(&EndpointState) -> bool,
--- a/crates/core/src/placement/policy/power_of_two.rs
+++ b/crates/core/src/placement/policy/power_of_two.rs
@@ -1,4 +1,4 @@
-//! The better of two endpoints drawn at random.
+//! Power of two choices: the better of two randomly sampled endpoints.
 
 use super::{Demand, ForecastPolicy, Policy};
 use crate::{
@@ -7,8 +7,8 @@
     units::Instant,
 };
 
-/// Draws two of the endpoints that have room and lets another policy choose between them. Many
-/// daemons with equal knowledge then choose apart from each other.
+/// Samples two endpoints with capacity and lets [`ForecastPolicy`] choose between them. Keeps many
+/// daemons with equal information from selecting the same endpoint.
 #[derive(Debug)]
 pub struct PowerOfTwoChoices {
     inner: ForecastPolicy,
@@ -16,9 +16,9 @@
 }
 
 impl PowerOfTwoChoices {
-    /// The policy without these mechanisms; the seed must be another on each daemon.
+    /// Creates the policy without the disabled mechanisms. The seed must differ between daemons.
     pub fn without(disabled: Disabled, seed: u64) -> PowerOfTwoChoices {
-        // Slow endpoints are drawn less often; left to the choice, the others would get nearly all.
+        // Slowness is handled by sampling; in the choice it would shift nearly all load to fast endpoints.
         let by_capacity = disabled.with(Mechanism::ReadingAvoidance).with(Mechanism::Pace);
         PowerOfTwoChoices {
             inner: ForecastPolicy::without(by_capacity),
@@ -43,7 +43,7 @@
         let mut drawn = Vec::new();
         while drawn.len() < 2 && !open.is_empty() {
             let at = self.rng.usize(..open.len());
-            // A slow endpoint reads fewer prompts in the same time.
+            // Sample slow endpoints with lower probability, in proportion to their speed.
             let is_last = open.len() == 1;
             if is_last || self.rng.f64() * endpoints[open[at]].reported_slowness(now) < 1.0 {
                 drawn.push(open.swap_remove(at));
--- a/crates/core/src/placement/prefill.rs
+++ b/crates/core/src/placement/prefill.rs
@@ -1,65 +1,63 @@
-//! The prompts that an endpoint has to read, and what part of its time that takes.
+//! Prefill queue of an endpoint and the fraction of its time spent on prefill.
 //!
-//! An engine reads prompts in pieces between the tokens of all that runs there: every prompt
-//! holds up every generation at its engine for as long as it takes to read.
+//! Engines interleave chunks of prefill with decode steps, so every prompt delays all generations
+//! on its engine while it is prefilled.
 
 use std::{collections::VecDeque, time::Duration};
 
 use super::Ticket;
 use crate::units::Instant;
 
-/// Prompt tokens that an engine reads in a millisecond while it does nothing else, by the users'
-/// sheets.
+/// Prefill speed of an idle engine, in tokens per millisecond.
 const IDLE_PREFILL_TOKENS_PER_MS: u64 = 14;
-/// The same while it also makes tokens: pieces of 112 tokens take 8 ms and share their step with
-/// 7 ms and more of decoding (measured: 3,000 tokens take 420 ms).
+/// Prefill speed of an engine that also decodes, in tokens per millisecond.
 const MIXED_PREFILL_TOKENS_PER_MS: u64 = 7;
-/// The part of the time spent on reading is smoothed over this long: a few prompts' worth at the
-/// usual loads, and less than the life of a long generation.
+/// Time constant of the moving average of prefill utilization: several prompts at usual loads, but
+/// less than the duration of a long generation.
 const UTILIZATION_WINDOW: Duration = Duration::from_secs(2);
 
-/// The same in a second, for endpoints whose speed was not measured.
+/// Prefill speed assumed for endpoints without measurements.
 const DEFAULT_TOKENS_PER_SECOND: f64 = MIXED_PREFILL_TOKENS_PER_MS as f64 * 1_000.0;
 
-/// Time that an engine takes to read a prompt of this length between the tokens of others.
+/// Returns the time an engine needs to prefill a prompt of this length while it also decodes.
 pub fn prefill_time(prompt_tokens: u64) -> Duration {
     Duration::from_micros(prompt_tokens.saturating_mul(1_000) / MIXED_PREFILL_TOKENS_PER_MS)
 }
 
-/// Weight of the newest prompt in an endpoint's speed of reading: two or three tell a slow one.
-/// Between 0.3 and 0.5 no difference was measured; 0.15 learns too late of engines that live for 20 s.
+/// Weight of the latest prompt in the moving average of prefill speed. Two or three prompts reveal a
+/// slow endpoint.
 const SPEED_EWMA_WEIGHT: f64 = 0.5;
-/// A prompt counts as read no faster and no slower than this many times the usual: one whose start
-/// was cached, or whose first token was told late, says little of the endpoint.
+/// Measured speeds are clamped to this factor around the default, to limit the effect of cached
+/// prefixes and late progress reports.
 const MAX_SPEED_RATIO: f64 = 3.0;
-/// Of the prompt that is being read, this part counts as unread until its first token is told.
+/// Fraction of the prompt in progress that counts as unread until its first token is reported.
 const MIN_UNREAD_FRACTION: f64 = 0.05;
 
-/// A prompt that an endpoint has not read, as far as is known.
+/// A prompt that has not produced its first token.
 #[derive(Debug, Clone, Copy)]
 struct PendingPrompt {
     ticket: Ticket,
     tokens: u64,
-    /// Whether it is known when it came.
+    /// Whether the time at which the endpoint received the prompt is known.
     start_known: bool,
 }
 
-/// What one endpoint has been given to read.
+/// Prompts pending on one endpoint and its prefill speed.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PrefillQueue {
-    /// The prompts whose first tokens have not been told, the oldest first.
+    /// Prompts without a first token, oldest first.
     pending: VecDeque<PendingPrompt>,
-    /// Since when the first of them is being read.
+    /// Start of prefill of the first pending prompt.
     head_started: Instant,
-    /// Prompt tokens read in a second, once that was measured.
+    /// Moving average of prefill speed, once measured.
     tokens_per_second: Option<f64>,
-    /// Seconds of reading for each second, smoothed, at the time of the last prompt.
+    /// Fraction of time spent on prefill, as of `utilization_at`.
     utilization: f64,
     utilization_at: Instant,
 }
 
 impl PrefillQueue {
-    /// Time that is still needed for the prompts given so far.
+    /// Estimated time to prefill all pending prompts.
     pub(crate) fn remaining_time(&self, now: Instant) -> Duration {
         let Some(first) = self.pending.front() else { return Duration::ZERO };
         let all: u64 = self.pending.iter().map(|pending| pending.tokens).sum();
@@ -68,40 +66,40 @@
         Duration::from_secs_f64((all as f64 - read.min(max_read)) / self.tokens_per_second())
     }
 
-    /// Requests whose first tokens have not been told.
+    /// Number of pending prompts.
     pub(crate) fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Time that it takes to read a prompt of this length there.
+    /// Time to prefill a prompt of this length.
     pub(crate) fn time_for(&self, prompt_tokens: u64) -> Duration {
         Duration::from_secs_f64(prompt_tokens as f64 / self.tokens_per_second())
     }
 
-    /// Time by which reading a prompt of this length holds up all else there.
+    /// Time by which prefill of a prompt of this length delays other generations.
     pub(crate) fn stall_time(&self, prompt_tokens: u64) -> Duration {
         let idle_speedup = IDLE_PREFILL_TOKENS_PER_MS as f64 / MIXED_PREFILL_TOKENS_PER_MS as f64;
         Duration::from_secs_f64(prompt_tokens as f64 / (self.tokens_per_second() * idle_speedup))
     }
 
-    /// Prompt tokens read in a second, once that was measured.
+    /// Measured prefill speed, if any.
     pub(crate) fn measured_tokens_per_second(&self) -> Option<f64> {
         self.tokens_per_second
     }
 
-    /// Prompt tokens read in a second.
+    /// Measured prefill speed, or the default.
     fn tokens_per_second(&self) -> f64 {
         self.tokens_per_second.unwrap_or(DEFAULT_TOKENS_PER_SECOND)
     }
 
-    /// Part of the time that goes to reading, smoothed.
+    /// Fraction of time spent on prefill, decayed to `now`.
     pub(crate) fn utilization(&self, now: Instant) -> f64 {
         let elapsed_windows =
             now.since(self.utilization_at).as_secs_f64() / UTILIZATION_WINDOW.as_secs_f64();
         self.utilization * (-elapsed_windows).exp()
     }
 
-    /// Notes that a request's prompt must be read.
+    /// Adds a prompt that is sent to the endpoint now.
     pub(crate) fn push(&mut self, ticket: Ticket, prompt_tokens: u64, now: Instant) {
         self.append(PendingPrompt { ticket, tokens: prompt_tokens, start_known: true }, now);
         let added = self.stall_time(prompt_tokens).as_secs_f64() / UTILIZATION_WINDOW.as_secs_f64();
@@ -109,7 +107,7 @@
         self.utilization_at = now;
     }
 
-    /// Notes a prompt that was given to the endpoint at an unknown time and has not been read.
+    /// Adds a pending prompt that was sent to the endpoint at an unknown time.
     pub(crate) fn adopt(&mut self, ticket: Ticket, prompt_tokens: u64, now: Instant) {
         self.append(PendingPrompt { ticket, tokens: prompt_tokens, start_known: false }, now);
     }
@@ -121,8 +119,8 @@
         self.pending.push_back(pending);
     }
 
-    /// Notes that a request's first token has come. Endpoints read one prompt after the other, so the
-    /// time since the one before tells how fast.
+    /// Removes a prompt whose first token has arrived. Prompts are prefilled sequentially, so the time
+    /// since the previous first token yields the prefill speed.
     pub(crate) fn on_first_token(&mut self, ticket: Ticket, now: Instant) {
         let Some(PendingPrompt { tokens, start_known, .. }) = self.take(ticket) else { return };
         let took = now.since(self.head_started).as_secs_f64();
@@ -137,7 +135,7 @@
         self.tokens_per_second = Some(before + SPEED_EWMA_WEIGHT * (speed - before));
     }
 
-    /// Forgets a request whose prompt will not be read there.
+    /// Removes a prompt that will not be prefilled here.
     pub(crate) fn remove(&mut self, ticket: Ticket, now: Instant) {
         let was_first = self.pending.front().is_some_and(|first| first.ticket == ticket);
         if self.take(ticket).is_some() && was_first {
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -1,4 +1,4 @@
-//! Waiting requests: tiers first, then fairness between workspaces.
+//! Queue of one target: ordered by rank, with weighted fair queueing between workspaces.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque},
@@ -9,14 +9,14 @@
 use super::{RANKS_PER_TIER, Request, Ticket};
 use crate::units::Instant;
 
-/// A waiting request.
+/// A queued request.
 #[derive(Debug)]
 pub(crate) struct WaitingRequest {
     pub(crate) req: Request,
     pub(crate) arrived: Instant,
 }
 
-/// Tokens served to a workspace, divided by its share.
+/// Tokens served to a workspace, divided by its fair-share weight.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 struct NormalizedService(f64);
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Place of a workspace in its tier: the least served comes first.
+/// Sort key of a workspace within a rank; the workspace with the least service comes first.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct FairnessKey {
     service: NormalizedService,
@@ -47,7 +47,7 @@
     by_service: BTreeSet<FairnessKey>,
     waiting: HashMap<Arc<str>, VecDeque<WaitingRequest>>,
     served: HashMap<Arc<str>, NormalizedService>,
-    /// The most that a first-in-line workspace had been served when it was chosen.
+    /// Largest service of any workspace at the time it was selected. New and idle workspaces start here.
     virtual_time: NormalizedService,
 }
 
@@ -59,7 +59,7 @@
 
     fn push(&mut self, waiting: WaitingRequest, at_limit: bool) {
         let workspace = waiting.req.workspace.clone();
-        // A workspace that was idle does not save up service.
+        // Idle workspaces do not accumulate credit.
         let service = self.served.entry(workspace.clone()).or_insert(self.virtual_time);
         let queue = self.waiting.entry(workspace.clone()).or_default();
         if queue.is_empty() {
@@ -114,7 +114,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     tiers: BTreeMap<u64, Tier>,
-    /// Workspaces that run as much as they may; their requests wait out of order.
+    /// Workspaces at their limit of running requests; their queued requests are not eligible.
     at_limit: HashSet<Arc<str>>,
     len: usize,
 }
@@ -124,7 +124,7 @@
         self.len
     }
 
-    /// Requests that are served before a new one of this rank.
+    /// Number of requests that are served before a new one of this rank.
     pub(crate) fn ahead_of(&self, rank: u64) -> usize {
         self.tiers.range(..=rank).map(|(_, tier)| tier.len).sum()
     }
@@ -135,8 +135,8 @@
         self.tiers.entry(req.rank).or_default().push(WaitingRequest { req, arrived }, at_limit);
     }
 
-    /// The first request of each rank, the next to serve first. A head gains a whole tier for
-    /// each `ageing` that it has waited, so that no rank starves.
+    /// Returns the first request of each rank in the order of service. Each `ageing` of waiting time
+    /// counts as one tier of priority, so that no rank starves.
     pub(crate) fn heads(&self, now: Instant, ageing: Duration) -> Vec<&WaitingRequest> {
         let aged_rank = |w: &WaitingRequest| {
             let tiers = now.since(w.arrived).as_secs_f64() / ageing.as_secs_f64();
@@ -158,7 +158,7 @@
         Some(waiting)
     }
 
-    /// Notes which workspace was chosen, so that newcomers start level with it.
+    /// Advances the virtual time to the service of the selected workspace.
     pub(crate) fn advance_virtual_time(&mut self, rank: u64, workspace: &Arc<str>) {
         if let Some(tier) = self.tiers.get_mut(&rank) {
             let service = tier.key(workspace).service;
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Holds a workspace's requests of all ranks back, or lets them take part again.
+    /// Excludes the requests of a workspace from selection at all ranks, or includes them again.
     pub(crate) fn set_at_limit(&mut self, workspace: &Arc<str>, at_limit: bool) {
         let changed = if at_limit {
             self.at_limit.insert(workspace.clone())
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Charges tokens served to a workspace.
+    /// Charges served tokens to a workspace.
     pub(crate) fn charge(&mut self, rank: u64, workspace: &Arc<str>, share: u64, tokens: u64) {
         let tier = self.tiers.entry(rank).or_default();
         tier.charge(workspace, tokens as f64 / share as f64);
--- a/crates/core/src/placement/scheduler.rs
+++ b/crates/core/src/placement/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler: queue, admission and accounting of running streams.
+//! The scheduler: admission, queueing and endpoint selection.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -28,16 +28,16 @@
     units::Instant,
 };
 
-/// A request is turned away at once when its expected wait is this many times too long; the
-/// expectation is too rough to turn away on less.
+/// Requests whose estimated wait exceeds `max_wait` by this factor are rejected on arrival. Above 1
+/// because the estimate is rough.
 const EXCESS_WAIT_FACTOR: u32 = 2;
 
-/// Bounds of a scheduler.
+/// Limits of a scheduler.
 #[derive(Debug, Clone, Copy)]
 pub struct SchedulerLimits {
-    /// Most requests waiting for one target.
+    /// Maximum number of queued requests per target.
     pub max_waiting: usize,
-    /// Time after which a waiting request has gained a whole tier.
+    /// Queueing time after which a request gains one tier of priority.
     pub ageing: Duration,
     /// Mechanisms that are switched off.
     pub disabled: Disabled,
@@ -61,7 +61,7 @@
     pub(super) memory: MemoryDemand,
     pub(super) tokens: u64,
     pub(super) meter: TokenLatencyMeter,
-    /// When it was placed there.
+    /// Time of placement on the current endpoint.
     pub(super) at: Instant,
 }
 
@@ -71,22 +71,22 @@
     pub(super) ticket: Ticket,
 }
 
-/// Requests of one workspace.
+/// Request counts of one workspace.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct WorkspaceCounts {
     pub(super) running: u64,
     pub(super) waiting: u64,
 }
 
-/// What becomes of a waiting request.
+/// Next decision for a queued request.
 enum Step {
-    /// It starts.
+    /// Start it.
     Start(Selection),
-    /// It waits until then: every endpoint has asked its daemon to back off.
+    /// Hold it until this time, because every endpoint has asked its daemon to back off.
     Hold(Ticket, Instant),
 }
 
-/// A request and the endpoint chosen for it.
+/// A queued request and its selected endpoint.
 struct Selection {
     rank: u64,
     workspace: Arc<str>,
@@ -102,7 +102,7 @@
     pub(super) expiry: Expiry,
 }
 
-/// Queue, endpoints and running streams of the targets of one scheduler.
+/// Schedules the requests of all its targets.
 pub struct Scheduler {
     pub(super) limits: SchedulerLimits,
     pub(super) policy: Box<dyn Policy>,
@@ -116,27 +116,27 @@
     pub(super) handover: HandoverQueue,
     pub(super) isolated: IsolatedRequests,
     pub(super) counts: HashMap<Arc<str>, WorkspaceCounts>,
-    /// Endpoints that are cold, or were lately: few of many.
+    /// Endpoints that are cold or recently were; a small subset, so that lookups stay cheap.
     pub(super) cold: BTreeSet<Arc<str>>,
-    /// With whom it shares what they bear, and what limits allow.
+    /// Determines this scheduler's part of cold-start and rate limits shared with other senders.
     pub(super) sender_role: SenderRole,
-    /// The limits that endpoints name, also those of endpoints that it does not place at itself.
+    /// Rate limits reported by endpoints, including endpoints that are not placed by this scheduler.
     pub(crate) throttle: Throttle,
-    /// The endpoints that have rejected requests lately, and the daemons that they have asked to back off.
+    /// Endpoints that recently rejected requests, and the daemons that they asked to back off.
     pub(crate) backoffs: BackoffTable,
-    /// Requests that wait until an endpoint takes requests of their daemon again.
+    /// Requests held until the back-off of their daemon ends.
     pub(super) held: Vec<HeldRequest>,
-    pub(super) refusals: RetrySpreader,
-    /// Random number of the daemon that places by itself; none for the scheduler of all daemons.
+    pub(super) retry_spreader: RetrySpreader,
+    /// Seed of a daemon-local scheduler; `None` for the cluster's scheduler.
     pub(super) local_seed: Option<u64>,
-    /// When it last decided.
+    /// Time of the last call to [`Scheduler::decide`].
     pub(super) last_decision: Instant,
-    /// Number of samples of endpoints taken.
+    /// Offset of the next endpoint sample.
     pub(super) sample_offset: usize,
 }
 
 impl Scheduler {
-    /// A scheduler without endpoints.
+    /// Creates a scheduler without endpoints.
     pub fn new(limits: SchedulerLimits, policy: Box<dyn Policy>) -> Scheduler {
         Scheduler {
             limits,
@@ -156,21 +156,22 @@
             throttle: Throttle::new(SenderRole::Scheduler, 0),
             backoffs: BackoffTable::default(),
             held: Vec::new(),
-            refusals: RetrySpreader::default(),
+            retry_spreader: RetrySpreader::default(),
             local_seed: None,
             last_decision: Instant::default(),
             sample_offset: 0,
         }
     }
 
-    /// A scheduler by forecast that does without these mechanisms.
+    /// Creates a scheduler that uses [`ForecastPolicy`] without the disabled mechanisms.
     pub(crate) fn by_forecast(disabled: Disabled) -> Scheduler {
         let limits = SchedulerLimits { disabled, ..SchedulerLimits::default() };
         Scheduler::new(limits, Box::new(ForecastPolicy::without(disabled)))
     }
 
-    /// The scheduler of a daemon for its own requests while no other answers; the seed must be
-    /// another on each daemon. It hands nothing over: it does not know what engines read.
+    /// Creates the scheduler that a daemon uses for its own requests while no cluster scheduler
+    /// answers. The seed must differ between daemons. Hand-overs are disabled, since the daemon
+    /// does not know the prefill load of the engines.
     pub fn local(disabled: Disabled, seed: u64) -> Scheduler {
         let disabled = disabled.with(Mechanism::Handover);
         let limits = SchedulerLimits { disabled, ..SchedulerLimits::default() };
@@ -187,7 +188,7 @@
         }
     }
 
-    /// The endpoint of a request that was placed, and another one with room if there is any.
+    /// Returns the endpoint of a placed request and an alternative endpoint with capacity, if any.
     pub fn sampled_endpoints(&mut self, ticket: Ticket, now: Instant) -> Vec<SampledEndpoint> {
         let first = self.placed.get(&ticket).map(|placed| placed.endpoint.clone());
         let other = self.alternative_for(ticket, now);
@@ -214,28 +215,28 @@
         open.choose(&demand, &mut *self.policy, now)
     }
 
-    /// The endpoint of this name.
+    /// Returns the endpoint with this name.
     pub fn endpoint(&self, name: &str) -> Option<&EndpointState> {
         self.endpoints.get(name)
     }
 
-    /// All endpoints by name.
+    /// Returns all endpoints by name.
     pub fn endpoints(&self) -> BTreeMap<&str, &EndpointState> {
         self.endpoints.iter().map(|(name, state)| (&**name, state)).collect()
     }
 
-    /// Requests waiting for any target.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queued.len()
     }
 
-    /// Requests granted and not finished.
+    /// Number of granted and unfinished requests.
     pub fn running(&self) -> usize {
         self.placed.len()
     }
 
-    /// Takes a new request; it waits until [`Scheduler::decide`] places it. One that is known
-    /// is not taken again: a daemon tells what waits whenever it finds the scheduler anew.
+    /// Queues a request until [`Scheduler::decide`] places it. Known requests are ignored, because
+    /// daemons resend their queue when they reconnect.
     pub fn enqueue(&mut self, req: Request, now: Instant) -> Result<(), RequestError> {
         if self.queued.contains_key(&req.ticket) || self.placed.contains_key(&req.ticket) {
             return Ok(());
@@ -284,7 +285,7 @@
         Ok(())
     }
 
-    /// Decides all that can be decided now.
+    /// Makes all decisions that are possible now.
     pub fn decide(&mut self, now: Instant) -> Vec<Action> {
         self.last_decision = now;
         let mut actions = self.expire(now);
@@ -308,13 +309,13 @@
         actions
     }
 
-    /// When [`Scheduler::decide`] must be called even without other input.
+    /// Time at which the next queued request expires.
     pub fn next_expiry(&self) -> Option<Instant> {
         self.expiries.first().map(|expiry| expiry.at)
     }
 
-    /// When [`Scheduler::decide`] and [`Scheduler::plan_relocations`] must be called even without
-    /// other input.
+    /// Time at which [`Scheduler::decide`] and [`Scheduler::plan_relocations`] must be called even
+    /// without other input.
     pub fn next_decision(&self) -> Option<Instant> {
         let next = self.next_expiry().into_iter().chain(self.next_plan_at());
         next.chain(self.next_cold_send())
@@ -323,12 +324,12 @@
             .min()
     }
 
-    /// Whether an endpoint may be sent new work now, as far as it has rejected none.
+    /// Whether an endpoint may be sent a request now, not considering rejections.
     pub(super) fn may_send(&self, endpoint: &EndpointState, now: Instant) -> bool {
         endpoint.is_available(now) && self.throttle.takes(&endpoint.name, now)
     }
 
-    /// When an endpoint that names a limit next takes a request, while any waits.
+    /// Time at which the next rate-limited endpoint accepts a request, if any request is queued.
     fn next_rate_limit_slot(&self) -> Option<Instant> {
         if self.queued.is_empty() || self.throttle.is_empty() {
             return None;
@@ -339,7 +340,7 @@
         slots.filter(|at| self.last_decision < *at).min()
     }
 
-    /// When a cold endpoint next takes a request, while any waits.
+    /// Time at which the next cold endpoint accepts a request, if any request is queued.
     fn next_cold_send(&self) -> Option<Instant> {
         if self.queued.is_empty() {
             return None;
@@ -366,8 +367,8 @@
         Some(Action::Start { ticket, endpoint, priority: rank })
     }
 
-    /// What becomes of the next request. While the head of a rank waits for room, only better ones may go
-    /// before it.
+    /// Decides on the next queued request. While the head of a rank waits for capacity, only requests
+    /// of better ranks may overtake it.
     fn next_step(&mut self, target: &EndpointTarget, now: Instant) -> Option<Step> {
         let state = self.targets.get(target)?;
         let mut blocked = u64::MAX;
--- a/crates/core/src/placement/sender_role.rs
+++ b/crates/core/src/placement/sender_role.rs
@@ -1,36 +1,36 @@
-//! Who sends to endpoints that take only so many requests a second from all together.
+//! Division of an endpoint's rate limit between the scheduler and the daemons.
 
 use std::time::Duration;
 
-/// Daemons that do not know how many they are send nothing to such endpoints: their share of as many
-/// as there may be at all.
+/// Daemon count that is assumed while it is unknown. Large enough that such a daemon sends nothing
+/// to rate-limited endpoints.
 const UNKNOWN_DAEMON_COUNT: u64 = 1_000_000;
 
-/// One scheduler for all daemons, or one of many daemons that choose by themselves.
+/// Role of a sender to rate-limited endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SenderRole {
     /// The scheduler of all daemons.
     Scheduler,
-    /// One of so many daemons.
+    /// One of this many daemons, each of which places its own requests.
     Daemons(u64),
 }
 
-/// Which part of what an endpoint takes they send.
+/// Fractions of an endpoint's rate that each role may use.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RateSplit {
-    /// The scheduler.
+    /// Fraction of the scheduler.
     pub(crate) scheduler: f64,
-    /// All daemons that choose by themselves together.
+    /// Fraction of all daemons together.
     pub(crate) daemons: f64,
 }
 
 impl SenderRole {
-    /// One of so many daemons; zero while their number is not known.
+    /// Returns the role of one of `count` daemons; zero means that the count is unknown.
     pub fn one_of(count: u64) -> SenderRole {
         SenderRole::Daemons(if count == 0 { UNKNOWN_DAEMON_COUNT } else { count })
     }
 
-    /// Time between two requests of one of them to an endpoint that takes one in each `interval`.
+    /// Time between two requests of one sender to an endpoint that accepts one request per `interval`.
     pub(crate) fn interval(self, interval: Duration, split: RateSplit) -> Duration {
         match self {
             SenderRole::Scheduler => interval.mul_f64(1.0 / split.scheduler),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether others send as well.
+    /// Whether other senders share the rate.
     pub(crate) fn has_peers(self) -> bool {
         self != SenderRole::Scheduler
     }
--- a/crates/core/src/placement/speed_baseline.rs
+++ b/crates/core/src/placement/speed_baseline.rs
@@ -1,29 +1,26 @@
-//! What the fastest of some endpoints do, and how much slower another one is.
+//! Speeds of the fastest endpoints of a set, and the slowness of others relative to them.
 //!
-//! Equal engines differ by how much they read: a prompt that is being read doubles the time for a token
-//! of all that runs there. Engines also differ by themselves. Their speed of reading tells that apart
-//! from all else, since they read one prompt after the other.
-//!
-//! Taking it into account took the time between events of long answers from 40.5 to 37 ms where a third
-//! of 122 engines takes 1.3 times as long for everything (`trayswitch-lab fleet --leaving`, 8 seeds).
+//! Equal engines differ in decode speed by their prefill load: prefill about doubles the time per
+//! token of all streams. Prefill speed does not depend on load, since prompts are prefilled
+//! sequentially, and therefore shows the inherent speed of an engine.
 
 use super::{endpoint::EndpointState, token_latency};
 use crate::units::Instant;
 
-/// Beyond this part of its time spent on reading, an endpoint's slowness is all put down to it.
+/// Cap on the prefill utilization used in estimates.
 const MAX_PREFILL_UTILIZATION: f64 = 0.8;
 
-/// The fastest of some endpoints.
+/// Best speeds among a set of endpoints.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SpeedBaseline {
-    /// Seconds for a token, if any was measured lately.
+    /// Lowest current time per token, in seconds.
     pub(super) token_seconds: Option<f64>,
-    /// Prompt tokens read in a second, if any was measured.
+    /// Highest measured prefill speed, in tokens per second.
     prefill_speed: Option<f64>,
 }
 
 impl SpeedBaseline {
-    /// The fastest of these.
+    /// Computes the baseline of these endpoints.
     pub(super) fn of(endpoints: &[&EndpointState], now: Instant) -> SpeedBaseline {
         let speeds =
             endpoints.iter().filter_map(|endpoint| endpoint.prefill.measured_tokens_per_second());
@@ -33,13 +30,13 @@
         }
     }
 
-    /// Seconds that a token takes at an endpoint, by what it reads and by its own speed.
+    /// Expected seconds per token on an endpoint, given its prefill load and inherent speed.
     pub(super) fn expected_token_seconds(&self, endpoint: &EndpointState, now: Instant) -> f64 {
         self.token_seconds.unwrap_or(token_latency::DEFAULT_TOKEN_SECONDS)
             * self.slowness(endpoint, now)
     }
 
-    /// The same as a part of the fastest's time.
+    /// Expected time per token on an endpoint relative to the fastest.
     pub(super) fn slowness(&self, endpoint: &EndpointState, now: Instant) -> f64 {
         let own = match (self.prefill_speed, endpoint.prefill.measured_tokens_per_second()) {
             (Some(fastest), Some(speed)) => fastest / speed,
--- a/crates/core/src/placement/target.rs
+++ b/crates/core/src/placement/target.rs
@@ -1,36 +1,37 @@
-//! One model or service: its queue, its endpoints and how fast places come free there.
+//! State of one model or service: its queue, its endpoints and the rate at which requests start.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use super::{PrefixHash, queue::Queue};
 use crate::units::Instant;
 
-/// Of more endpoints than this, a decision looks at a sample.
+/// Maximum number of endpoints that one decision examines.
 const MAX_SAMPLE: usize = 32;
-/// Of more starts of prompts than this, all are forgotten, against growth without end.
+/// Bound on remembered prefixes; the map is cleared when it is reached.
 const MAX_PREFIXES: usize = 50_000;
 
-/// All of a few; of many an even sample, another one for each number.
+/// Returns all items if there are at most `MAX_SAMPLE`, else every n-th item from an offset derived
+/// from `number`.
 pub(super) fn even_sample<T>(items: &[T], number: usize) -> impl Iterator<Item = &T> {
     let step = items.len().div_ceil(MAX_SAMPLE).max(1);
     items.iter().skip(number % step).step_by(step)
 }
 
-/// What waits for one model or service, and where it may go.
+/// Queue and endpoints of one model or service.
 #[derive(Debug, Default)]
 pub(super) struct TargetState {
     pub(super) queue: Queue,
     pub(super) endpoints: Vec<Arc<str>>,
-    /// The endpoint that a prompt's start was last sent to.
+    /// Endpoint that last received a request with this prefix.
     prefix_endpoints: HashMap<PrefixHash, Arc<str>>,
-    /// Smoothed time between starts, in seconds; zero while unknown.
+    /// Moving average of the time between starts, in seconds; zero if unknown.
     start_interval: f64,
     last_queued_start: Option<Instant>,
 }
 
 impl TargetState {
-    /// Endpoints to choose from: all of a few; of many, an even sample whose offset moves on,
-    /// and the one that may have the prefix. So the cost of a decision stays flat.
+    /// Returns candidate endpoints: a bounded sample plus the endpoint that last received this
+    /// prefix, so that the cost of a decision does not grow with the number of endpoints.
     pub(super) fn sample(
         &self,
         number: usize,
@@ -41,7 +42,7 @@
         even_sample(&self.endpoints, number).chain(with_prefix)
     }
 
-    /// Notes where a prompt's start will be cached.
+    /// Records the endpoint that will cache this prefix.
     pub(super) fn record_prefix(&mut self, prefix: PrefixHash, endpoint: &Arc<str>) {
         if MAX_PREFIXES <= self.prefix_endpoints.len() {
             self.prefix_endpoints.clear();
@@ -49,7 +50,7 @@
         self.prefix_endpoints.insert(prefix, endpoint.clone());
     }
 
-    /// Learns how fast places come free. Only between starts out of a queue does the gap tell.
+    /// Updates the average start interval. Only starts from a non-empty queue count.
     pub(super) fn record_start(&mut self, now: Instant) {
         const EWMA_WEIGHT: f64 = 0.05;
         if let Some(last) = self.last_queued_start {
@@ -59,7 +60,7 @@
         self.last_queued_start = (0 < self.queue.len()).then_some(now);
     }
 
-    /// Time until a new request of this rank would start.
+    /// Estimated queueing time of a new request of this rank.
     pub(super) fn expected_wait(&self, rank: u64) -> Duration {
         Duration::from_secs_f64(self.start_interval * self.queue.ahead_of(rank) as f64)
     }
--- a/crates/core/src/placement/token_latency.rs
+++ b/crates/core/src/placement/token_latency.rs
@@ -1,48 +1,46 @@
-//! How fast endpoints make tokens, measured by the progress of what runs there.
+//! Time per output token of endpoints, measured from the progress of their streams.
 
 use std::time::Duration;
 
 use super::endpoint::EndpointState;
 use crate::units::Instant;
 
-/// Progress is told in steps of half a second; a shorter span would measure the telling.
+/// Minimum length of a measured span; progress is reported every half second.
 const MIN_SPAN: Duration = Duration::from_millis(500);
-/// A span counts for no more than this many times the pace so far: a daemon that was suspended
-/// or cut off tells of spans that say nothing of the endpoint.
+/// Spans count for at most this many times the current average. Limits the effect of suspended or
+/// disconnected daemons.
 const MAX_SPAN_RATIO: f64 = 5.0;
-/// Weight of the newest span in an endpoint's pace: two or three spans tell a slow one.
+/// Weight of the latest span in the moving average. Two or three spans reveal a slow endpoint.
 const EWMA_WEIGHT: f64 = 0.4;
-/// A pace that was not measured for this long is forgotten, so that an endpoint that was
-/// avoided is tried again. Outlier ejection in load balancers starts from the same 30 s.
+/// Age at which a measurement expires, so that avoided endpoints are tried again.
 const MAX_AGE: Duration = Duration::from_secs(30);
 
-/// Seconds that a token takes while nobody's pace is known: the usual speed of the users' engines.
+/// Seconds per token assumed while no endpoint has measurements.
 pub(crate) const DEFAULT_TOKEN_SECONDS: f64 = 0.008;
 
-/// Seconds for a token at the fastest of these endpoints, if any was measured lately.
+/// Lowest current time per token of these endpoints, in seconds.
 pub(crate) fn lowest(endpoints: &[&EndpointState], now: Instant) -> Option<f64> {
     let latencies =
         endpoints.iter().filter_map(|endpoint| endpoint.token_latency.seconds_per_token(now));
     latencies.min_by(f64::total_cmp)
 }
 
-/// The time that an endpoint takes for a token of one stream, smoothed.
+/// Moving average of an endpoint's time per output token.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) struct TokenLatency {
-    /// In seconds; `None` until a span was measured.
+    /// Seconds per token; `None` until measured.
     seconds_per_token: Option<f64>,
-    /// When the last span ended that was counted.
+    /// End of the latest measured span.
     measured_at: Instant,
 }
 
 impl TokenLatency {
-    /// Seconds for a token, if any was measured lately.
+    /// Seconds per token, unless the measurement has expired.
     pub(crate) fn seconds_per_token(self, now: Instant) -> Option<f64> {
         self.seconds_per_token.filter(|_| now.since(self.measured_at) < MAX_AGE)
     }
 
-    /// How much longer than the fastest endpoint this one takes, as a part of the fastest's
-    /// time; nothing while either is unknown.
+    /// Excess over the lowest time per token as a fraction of it; zero if either is unknown.
     pub(crate) fn slowdown(self, lowest: Option<f64>, now: Instant) -> f64 {
         match (self.seconds_per_token(now), lowest) {
             (Some(own), Some(lowest)) if 0.0 < lowest => own / lowest - 1.0,
@@ -50,7 +48,7 @@
         }
     }
 
-    /// Counts a span in which a token took `per_token` seconds.
+    /// Adds a span with this time per token.
     fn record(&mut self, seconds_per_token: f64, now: Instant) {
         let before = self.seconds_per_token(now).unwrap_or(seconds_per_token);
         let seconds_per_token = seconds_per_token.min(before * MAX_SPAN_RATIO);
@@ -59,14 +57,14 @@
     }
 }
 
-/// Measures one stream at one endpoint.
+/// Measures one stream on one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct TokenLatencyMeter {
-    /// Start of the span that is being measured.
+    /// Start of the current span.
     span_start: Option<ProgressPoint>,
 }
 
-/// How far a stream was at a time.
+/// Token count of a stream at a point in time.
 #[derive(Debug, Clone, Copy)]
 struct ProgressPoint {
     at: Instant,
@@ -74,7 +72,7 @@
 }
 
 impl TokenLatencyMeter {
-    /// Takes the number of tokens so far; a span that is long enough counts for `pace`.
+    /// Processes the current token count and adds the span to `latency` if it is long enough.
     pub(crate) fn observe(&mut self, tokens: u64, now: Instant, latency: &mut TokenLatency) {
         let Some(start) = self.span_start else {
             self.span_start = Some(ProgressPoint { at: now, tokens });
@@ -84,7 +82,7 @@
         if span < MIN_SPAN || tokens <= start.tokens {
             return;
         }
-        // A longer span has nothing left to be compared with.
+        // Longer spans exceed the age of the average they would be compared with.
         if span < MAX_AGE {
             latency.record(span.as_secs_f64() / (tokens - start.tokens) as f64, now);
         }
