--- a/crates/core/src/node/dispatcher.rs
+++ b/crates/core/src/node/dispatcher.rs
@@ -65,7 +65,7 @@
 impl Dispatcher {
     pub(crate) fn new(disabled: Disabled, now: Instant) -> Dispatcher {
         Dispatcher {
-            scheduler: Scheduler::by_forecast(disabled),
+            scheduler: Scheduler::with_forecast(disabled),
             ready_at: now.after(RECOVERY_TIME),
             daemon_numbers: ByVm::new(),
             daemon_names: BTreeMap::new(),
--- a/crates/core/src/placement/backoff.rs
+++ b/crates/core/src/placement/backoff.rs
@@ -106,8 +106,8 @@
 
     fn admission_of(&self, endpoint: &str, daemon: u64, now: Instant) -> Admission {
         let admission = self.backoffs.admission(endpoint, daemon, now);
-        let is_own = matches!(admission, Admission::BackedOff(_));
-        if is_own || self.shares_backoffs() { admission } else { Admission::Open }
+        let own_backoff = matches!(admission, Admission::BackedOff(_));
+        if own_backoff || self.shares_backoffs() { admission } else { Admission::Open }
     }
 
     /// Like [`Scheduler::admission`], for requests that this daemon sends itself.
--- a/crates/core/src/placement/backoff_tests.rs
+++ b/crates/core/src/placement/backoff_tests.rs
@@ -1,4 +1,4 @@
-//! Placement while engines reject requests and ask daemons to back off.
+//! Placement on engines that reject requests and ask daemons to back off.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 const D1: u64 = 1;
 const D2: u64 = 2;
 
-/// So many empty engines of one hall.
+/// A scheduler with `count` idle engines in one data hall.
 fn engines(count: usize) -> Scheduler {
     scheduler(&vec![HALL; count], 34_000)
 }
@@ -29,7 +29,7 @@
     scheduler.on_rejection(daemon, &rejection, ms(at));
 }
 
-/// Where requests are placed now, by their numbers.
+/// Decides and returns the number and endpoint of each started request.
 fn placed(scheduler: &mut Scheduler, at: u64) -> Vec<(u64, String)> {
     let start = |action| match action {
         Action::Start { ticket, endpoint, .. } => Some((ticket.number, endpoint.to_string())),
@@ -38,7 +38,7 @@
     scheduler.decide(ms(at)).into_iter().filter_map(start).collect()
 }
 
-/// Where one more request of a daemon is placed, if it is.
+/// Enqueues a request and returns its endpoint if it starts.
 fn place(scheduler: &mut Scheduler, req: Request, at: u64) -> Option<String> {
     let number = req.ticket.number;
     scheduler.enqueue(req, ms(at)).unwrap();
@@ -46,7 +46,7 @@
 }
 
 #[gtest]
-fn nothing_of_a_daemon_is_placed_at_an_engine_that_has_asked_it_to_back_off() {
+fn backed_off_engine_gets_no_requests_of_the_daemon() {
     let mut scheduler = engines(2);
     reject(&mut scheduler, D1, "e0", 3_000, 0);
 
@@ -58,7 +58,7 @@
 }
 
 #[gtest]
-fn an_engine_that_rejects_one_daemon_is_the_last_resort_of_others() {
+fn rejecting_engine_is_last_resort_for_other_daemons() {
     let mut scheduler = engines(2);
     reject(&mut scheduler, D1, "e0", 3_000, 0);
     let with_another = place(&mut scheduler, chat_of(D2, 1), 10);
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn once_the_time_is_over_one_request_is_placed_and_more_once_it_is_answered() {
+fn one_probe_request_after_back_off_then_more() {
     let mut scheduler = engines(1);
     reject(&mut scheduler, D1, "e0", 500, 0);
     for number in 0..4 {
@@ -88,7 +88,7 @@
 }
 
 #[gtest]
-fn a_request_that_goes_elsewhere_before_its_first_token_leaves_room_for_another() {
+fn relocated_probe_request_frees_its_place() {
     let mut scheduler = engines(2);
     reject(&mut scheduler, D1, "e0", 100, 0);
     scheduler.endpoint_leaving("e1", true);
@@ -103,7 +103,7 @@
 }
 
 #[gtest]
-fn a_request_does_not_go_back_to_an_engine_that_has_rejected_it() {
+fn request_avoids_engines_that_rejected_it() {
     let mut scheduler = engines(3);
     let avoid = vec!["e0".into(), "e1".into()];
 
@@ -113,7 +113,7 @@
 }
 
 #[gtest]
-fn where_every_engine_has_asked_for_longer_than_a_request_can_wait_it_is_refused_at_once() {
+fn back_off_longer_than_max_wait_is_rejected_on_arrival() {
     let mut scheduler = engines(2);
     reject(&mut scheduler, D1, "e0", 5_000, 0);
     reject(&mut scheduler, D1, "e1", 4_000, 0);
@@ -127,7 +127,7 @@
 }
 
 #[gtest]
-fn a_request_that_can_wait_for_the_end_of_a_back_off_does() {
+fn request_is_held_until_back_off_ends() {
     let mut scheduler = engines(1);
     reject(&mut scheduler, D1, "e0", 500, 0);
 
@@ -141,7 +141,7 @@
 }
 
 #[gtest]
-fn a_request_that_waits_for_the_end_of_a_back_off_holds_up_no_other_daemon() {
+fn held_request_does_not_block_other_daemons() {
     let mut scheduler = engines(1);
     reject(&mut scheduler, D1, "e0", 500, 0);
     let of_d1 = place(&mut scheduler, chat_of(D1, 1), 100);
@@ -153,7 +153,7 @@
 }
 
 #[gtest]
-fn what_waits_is_given_up_once_every_engine_has_asked_for_longer_than_it_can() {
+fn queued_request_is_rejected_when_back_off_exceeds_its_wait() {
     let mut scheduler = scheduler(&[HALL], 1_000);
     scheduler.enqueue(chat_of(D2, 1), ms(0)).unwrap();
     let running = placed(&mut scheduler, 0).len();
@@ -172,7 +172,7 @@
 }
 
 #[gtest]
-fn a_caller_who_leaves_while_its_request_waits_leaves_nothing_behind() {
+fn cancelling_a_held_request_removes_it() {
     let mut scheduler = engines(1);
     reject(&mut scheduler, D1, "e0", 500, 0);
     let waits = place(&mut scheduler, chat_of(D1, 1), 100);
@@ -185,7 +185,7 @@
 }
 
 #[gtest]
-fn no_generation_is_moved_to_an_engine_that_has_asked_its_daemon_to_back_off() {
+fn no_move_to_an_engine_that_backs_off_the_daemon() {
     let mut scheduler = engines(2);
     scheduler.adopt(chat_of(D1, 1), "e0", 8, ms(0));
     reject(&mut scheduler, D1, "e1", 3_000, 0);
--- a/crates/core/src/placement/cold_start_tests.rs
+++ b/crates/core/src/placement/cold_start_tests.rs
@@ -1,4 +1,4 @@
-//! What cold endpoints are sent, by a scheduler and by hundreds of daemons without one.
+//! Pacing of requests to cold endpoints, by the scheduler and by daemons without one.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -16,16 +16,16 @@
     units::Instant,
 };
 
-/// What an endpoint bears while it is cold, for a second.
-const BEARS: u64 = 20;
-/// What it is sent in a second before it falls over: 1.5 times that, and five.
-const FALLS_OVER: usize = 35;
+/// Requests per second that a cold endpoint handles.
+const COLD_RATE: u64 = 20;
+/// Requests per second at which a cold endpoint fails.
+const OVERLOAD_RATE: usize = 35;
 
 fn cold_start() -> ColdStart {
-    ColdStart { lasts: Duration::from_secs(1), interval: Duration::from_millis(1_000 / BEARS) }
+    ColdStart { lasts: Duration::from_secs(1), interval: Duration::from_millis(1_000 / COLD_RATE) }
 }
 
-/// Engines of great memory that are cold after a start.
+/// Cold engines with large memory.
 fn cold_engines(halls: &[&str]) -> Endpoints {
     let mut engines = engines(halls, 10_000_000);
     for engine in engines.values_mut() {
@@ -44,13 +44,13 @@
     scheduler
 }
 
-/// A request that waits for longer than an endpoint is cold.
+/// A request that waits longer than the cold period.
 fn patient(number: u64) -> Request {
     let long = Duration::from_secs(30);
     Request { max_wait: long, ttft_target: long, ..request(number, 100, 100) }
 }
 
-/// The endpoints that requests are sent to now.
+/// Decides and returns the endpoint of each started request.
 fn sent(scheduler: &mut Scheduler, now: Instant) -> Vec<Arc<str>> {
     let start = |action| match action {
         Action::Start { endpoint, .. } => Some(endpoint),
@@ -59,8 +59,8 @@
     scheduler.decide(now).into_iter().filter_map(start).collect()
 }
 
-/// The most that came within a second.
-fn most_in_a_second(times: &[Instant]) -> usize {
+/// Maximum number of events within one second.
+fn max_per_second(times: &[Instant]) -> usize {
     let mut window = VecDeque::new();
     let mut most = 0;
     for at in times {
@@ -74,7 +74,7 @@
 }
 
 #[gtest]
-fn a_scheduler_spaces_out_what_it_sends_to_a_cold_endpoint() {
+fn scheduler_paces_requests_to_a_cold_endpoint() {
     let mut scheduler = cold_scheduler(&["a"], ms(1_000));
     for number in 0..200 {
         scheduler.enqueue(patient(number), ms(0)).unwrap();
@@ -83,12 +83,12 @@
     let cold: usize = (0..1_000).map(|at| sent(&mut scheduler, ms(at)).len()).sum();
     let warm = sent(&mut scheduler, ms(1_000)).len();
 
-    expect_that!(cold, all![ge(14), le(BEARS as usize)]);
+    expect_that!(cold, all![ge(14), le(COLD_RATE as usize)]);
     expect_that!(warm, eq(200 - cold));
 }
 
 #[gtest]
-fn while_others_are_warm_requests_go_there() {
+fn warm_endpoints_are_preferred() {
     let mut scheduler = cold_scheduler(&["a"], ms(1_000));
     scheduler.configure(&cold_engines(&["a", "b"]));
     for number in 0..100 {
@@ -102,7 +102,7 @@
 }
 
 #[gtest]
-fn a_waiting_request_is_looked_at_again_when_a_cold_endpoint_takes_the_next() {
+fn next_decision_includes_cold_endpoint_pacing() {
     let mut scheduler = cold_scheduler(&["a"], ms(1_000));
     for number in 0..3 {
         scheduler.enqueue(request(number, 100, 100), ms(0)).unwrap();
@@ -117,7 +117,7 @@
 }
 
 #[gtest]
-fn moves_and_requests_together_keep_to_what_it_bears() {
+fn moves_count_against_the_cold_rate() {
     let mut scheduler = cold_scheduler(&["a", "a"], ms(0));
     for number in 0..200 {
         scheduler.adopt(request(number, 100, 5_000), "e0", 8, ms(0));
@@ -125,21 +125,21 @@
     scheduler.endpoint_cold("e1", ms(1_000), ms(0));
     scheduler.endpoint_leaving("e0", true);
 
-    let mut came = 0;
+    let mut received = 0;
     for at in 0..1_000 {
         let _ = scheduler.enqueue(request(1_000 + at, 100, 100), ms(at));
-        came += sent(&mut scheduler, ms(at)).len();
+        received += sent(&mut scheduler, ms(at)).len();
         for relocation in scheduler.plan_relocations(ms(at)) {
-            came += 1;
+            received += 1;
             scheduler.on_relocated(relocation.ticket, &relocation.to, true, ms(at));
         }
     }
 
-    expect_that!(came, all![ge(14), le(BEARS as usize)]);
+    expect_that!(received, all![ge(14), le(COLD_RATE as usize)]);
 }
 
 #[gtest]
-fn an_endpoint_that_failed_is_taken_for_cold_when_it_is_tried_again() {
+fn failed_endpoint_is_cold_on_retry() {
     let mut scheduler = cold_scheduler(&["a"], ms(0));
     scheduler.endpoint_failed("e0", ms(100));
     for number in 0..50 {
@@ -152,7 +152,7 @@
 }
 
 #[gtest]
-fn endpoints_of_services_that_are_never_cold_are_sent_all_at_once() {
+fn endpoints_without_cold_start_are_not_paced() {
     let mut scheduler = scheduler(&["a"], 1_000_000);
     scheduler.endpoint_cold("e0", ms(1_000), ms(0));
     for number in 0..20 {
@@ -162,8 +162,7 @@
     expect_that!(sent(&mut scheduler, ms(0)).len(), eq(20));
 }
 
-/// What daemons without a scheduler send to one cold endpoint, each of which has all that it may
-/// send.
+/// Times at which daemons without a scheduler send to `e0` while each always has a request queued.
 fn sent_by_daemons(daemons: u64, endpoints: usize, seed: u64) -> Vec<Instant> {
     let halls = vec!["a"; endpoints];
     let mut alone: Vec<Scheduler> = (0..daemons)
@@ -190,12 +189,12 @@
 }
 
 #[gtest]
-fn a_share_for_each_daemon_is_neither_nothing_nor_too_much_whatever_their_number() {
+fn daemons_together_use_the_cold_rate_without_exceeding_it() {
     for daemons in [1, 7, 64, 300] {
         for seed in 0..10 {
             let times = sent_by_daemons(daemons, 1, seed);
 
-            expect_that!(most_in_a_second(&times), le(FALLS_OVER), "{daemons} daemons, {seed}");
+            expect_that!(max_per_second(&times), le(OVERLOAD_RATE), "{daemons} daemons, {seed}");
             expect_that!(times.len(), ge(15), "{daemons} daemons, {seed}: used in 3 s");
         }
     }
@@ -204,9 +203,9 @@
 proptest! {
     #![proptest_config(fixed_seed(40))]
 
-    /// Whatever comes and goes, a cold endpoint is never sent more than it bears by one scheduler.
+    /// The scheduler never exceeds the cold rate under random requests, leaves, failures and restarts.
     #[test]
-    fn no_cold_endpoint_is_sent_more_than_it_bears(
+    fn cold_rate_is_never_exceeded(
         steps in proptest::collection::vec((0u8..6, 0usize..4, 1u64..2_000), 1..200),
     ) {
         let mut scheduler = cold_scheduler(&["a", "a", "b", "b"], ms(5_000));
@@ -229,7 +228,7 @@
             }
         }
         for times in times {
-            prop_assert!(most_in_a_second(&times) <= BEARS as usize);
+            prop_assert!(max_per_second(&times) <= COLD_RATE as usize);
         }
     }
 }
--- a/crates/core/src/placement/endpoint.rs
+++ b/crates/core/src/placement/endpoint.rs
@@ -54,7 +54,7 @@
     pub(crate) variance: [f64; HORIZONS.len()],
     /// KV cache in use now, in tokens.
     pub(crate) used: f64,
-    /// Expected value of the whole generation; see [`generation_value`](super::forecast::generation_value).
+    /// Expected value of the whole generation; see `generation_value`.
     pub(crate) value: f64,
 }
 
--- a/crates/core/src/placement/endpoint_updates.rs
+++ b/crates/core/src/placement/endpoint_updates.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Fraction of the send interval before the first request: zero for the cluster scheduler,
+    /// Fraction of the send interval before the first request: zero for the central scheduler,
     /// pseudo-random per daemon and endpoint otherwise.
     fn cold_phase(&self, name: &str, until: Instant) -> f64 {
         let Some(seed) = self.local_seed else { return 0.0 };
--- a/crates/core/src/placement/engine_choice.rs
+++ b/crates/core/src/placement/engine_choice.rs
@@ -70,9 +70,9 @@
 
 /// Sorts engines by estimated cost, cheapest first. Engines with unknown load come before full ones.
 pub fn sort_by_cost(candidates: &mut [Candidate], prompt_tokens: u64) {
-    let key = |(drawn, load): &Candidate| match load {
+    let key = |(sampled, load): &Candidate| match load {
         Some(load) => {
-            (load.is_full(prompt_tokens), false, load.cost(prompt_tokens, drawn.slowness))
+            (load.is_full(prompt_tokens), false, load.cost(prompt_tokens, sampled.slowness))
         }
         None => (false, true, 0.0),
     };
--- a/crates/core/src/placement/engine_choice_tests.rs
+++ b/crates/core/src/placement/engine_choice_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the choice without a scheduler.
+//! Engine selection by daemons without a scheduler.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,9 @@
 };
 use crate::mechanism::Disabled;
 
-/// Entries and engines of the users' largest deployment.
+/// Size of a large deployment: daemons, engines and tokens of KV cache per engine.
 const DAEMONS: u64 = 295;
 const ENGINES: usize = 122;
-/// Memory of one of its engines, in tokens.
 const MEMORY: u64 = 33_640;
 
 fn load(unread_tokens: u64, kv_used: u64) -> Option<EngineLoad> {
@@ -28,8 +27,8 @@
     })
 }
 
-/// The engines that daemons which know nothing of each other choose for one prompt each.
-fn choices_of_all() -> BTreeMap<String, u64> {
+/// Counts how often each engine is chosen when all daemons place one request independently.
+fn engines_chosen_by_all_daemons() -> BTreeMap<String, u64> {
     let halls = vec!["h"; ENGINES];
     let mut chosen = BTreeMap::new();
     for daemon in 0..DAEMONS {
@@ -44,17 +43,17 @@
 }
 
 #[gtest]
-fn hundreds_of_daemons_with_equal_knowledge_choose_apart() {
-    let chosen = choices_of_all();
+fn concurrent_daemons_spread_over_engines() {
+    let chosen = engines_chosen_by_all_daemons();
 
-    // 2.4 prompts for each engine; of 295 thrown at 122 at random the fullest has 8 or 9.
+    // 2.4 requests per engine on average; uniform random placement peaks at 8 or 9.
     expect_that!(chosen.values().sum::<u64>(), eq(DAEMONS));
     expect_that!(chosen.values().max(), some(le(&9)));
     expect_that!(chosen.len(), ge(100));
 }
 
 #[gtest]
-fn the_other_choice_is_another_engine() {
+fn sampled_engines_are_distinct() {
     let mut scheduler = Scheduler::local(Disabled::default(), 7);
     scheduler.configure(&engines(&["h", "h"], MEMORY));
     let req = request(1, 3_000, 1_100);
@@ -62,33 +61,33 @@
     scheduler.enqueue(req, ms(1)).unwrap();
     scheduler.decide(ms(1));
 
-    let drawn = scheduler.sampled_endpoints(ticket, ms(1));
+    let sampled = scheduler.sampled_endpoints(ticket, ms(1));
 
-    expect_that!(drawn.len(), eq(2));
-    expect_that!(drawn[0].endpoint, not(eq(&drawn[1].endpoint)));
+    expect_that!(sampled.len(), eq(2));
+    expect_that!(sampled[0].endpoint, not(eq(&sampled[1].endpoint)));
 }
 
 #[gtest]
-fn a_slow_engine_is_drawn_less_often() {
+fn slow_engine_is_sampled_less_often() {
     let mut scheduler = Scheduler::local(Disabled::default(), 7);
     scheduler.configure(&engines(&["h", "h", "h"], MEMORY));
     scheduler.endpoint_slow("e0", 3.0, ms(1));
-    let mut drawn_slow = 0;
+    let mut times_sampled = 0;
     for number in 0..300 {
         let req = request(number, 3_000, 1_100);
         let ticket = req.ticket;
         scheduler.enqueue(req, ms(1)).unwrap();
         scheduler.decide(ms(1));
-        let drawn = scheduler.sampled_endpoints(ticket, ms(1));
-        drawn_slow += drawn.iter().filter(|drawn| &*drawn.endpoint == "e0").count();
+        let sampled = scheduler.sampled_endpoints(ticket, ms(1));
+        times_sampled += sampled.iter().filter(|sampled| &*sampled.endpoint == "e0").count();
         scheduler.cancel(ticket, ms(1));
     }
 
-    // Each of equal ones would be among the two 200 times.
-    expect_that!(drawn_slow, lt(150));
+    // An equally fast engine would be sampled 200 times.
+    expect_that!(times_sampled, lt(150));
 }
 
-/// Positions of engines with these loads and slownesses in the order in which they are asked.
+/// Returns the indices of engines with these loads and slownesses in sorted order.
 fn order(engines: &[(Option<EngineLoad>, f64)]) -> Vec<usize> {
     let candidate = |(at, (load, slowness)): (usize, &(Option<EngineLoad>, f64))| {
         let endpoint = at.to_string().into();
@@ -96,22 +95,22 @@
     };
     let mut candidates: Vec<Candidate> = engines.iter().enumerate().map(candidate).collect();
     sort_by_cost(&mut candidates, 3_000);
-    candidates.iter().map(|(drawn, _)| drawn.endpoint.parse().unwrap()).collect()
+    candidates.iter().map(|(sampled, _)| sampled.endpoint.parse().unwrap()).collect()
 }
 
 #[gtest]
-fn an_engine_with_less_to_read_and_more_memory_is_asked_first() {
-    let by_reading = order(&[(load(6_000, 10_000), 1.0), (load(0, 10_000), 1.0)]);
+fn sort_prefers_less_prefill_more_memory_and_higher_speed() {
+    let by_prefill = order(&[(load(6_000, 10_000), 1.0), (load(0, 10_000), 1.0)]);
     let by_memory = order(&[(load(0, 25_000), 1.0), (load(0, 5_000), 1.0)]);
     let by_speed = order(&[(load(3_000, 9_000), 1.5), (load(3_500, 9_000), 1.0)]);
 
-    expect_that!(by_reading, eq(&vec![1, 0]));
+    expect_that!(by_prefill, eq(&vec![1, 0]));
     expect_that!(by_memory, eq(&vec![1, 0]));
     expect_that!(by_speed, eq(&vec![1, 0]));
 }
 
 #[gtest]
-fn a_full_engine_is_asked_last_and_one_that_tells_nothing_before_it() {
+fn sort_puts_unknown_load_before_full_engines() {
     let full = (load(0, MEMORY - 1_000), 1.0);
 
     let order = order(&[full, (None, 1.0), (load(9_000, 9_000), 1.0)]);
@@ -120,14 +119,14 @@
 }
 
 #[gtest]
-fn a_place_is_asked_for_where_memory_may_be_short() {
+fn reservation_needed_when_memory_is_short() {
     let needs_reservation = |used| load(0, used).unwrap().needs_reservation(3_000);
 
     expect_that!((needs_reservation(10_000), needs_reservation(25_000)), eq((false, true)));
 }
 
 #[gtest]
-fn the_leader_knows_which_engines_are_slow() {
+fn scheduler_reports_slow_engines() {
     let mut scheduler = scheduler(&["h", "h", "h"], MEMORY);
     for round in 0..6 {
         for (engine, read_ms) in [400, 400, 600].into_iter().enumerate() {
--- a/crates/core/src/placement/evacuation.rs
+++ b/crates/core/src/placement/evacuation.rs
@@ -1,7 +1,7 @@
 //! Moves running generations off endpoints that are leaving.
 //!
 //! Copies from one endpoint share its link, so each endpoint sends one generation at a time, the
-//! most valuable first, and receives one at a time. The daemon switches a generation over only after
+//! one with the highest gain first, and receives one at a time. The daemon switches a generation over only after
 //! its copy has arrived.
 
 use std::{
@@ -114,11 +114,11 @@
 
     /// Leaving endpoints that still run generations that can be moved.
     fn draining_endpoints(&self) -> impl Iterator<Item = &EndpointState> {
-        let moves = self.limits.disabled.allows(Mechanism::Evacuation);
+        let enabled = self.limits.disabled.allows(Mechanism::Evacuation);
         let leaving = self.moves.leaving.iter().filter_map(|name| self.endpoints.get(name));
         // An endpoint that has returned at another address under the same name is not leaving.
         leaving.filter(move |state| {
-            moves && state.health == Health::Leaving && state.spec.moves && 0 < state.running
+            enabled && state.health == Health::Leaving && state.spec.moves && 0 < state.running
         })
     }
 
@@ -158,7 +158,7 @@
 
     /// Starts the move of one generation off an endpoint.
     fn start_next_move(&mut self, source: &Arc<str>, now: Instant) -> Option<Relocation> {
-        let ticket = self.most_valuable_at(source, now)?;
+        let ticket = self.best_candidate_at(source, now)?;
         let to = self.choose_destination(ticket, source, now)?;
         self.start_move(ticket, &to, now)
     }
@@ -184,7 +184,7 @@
     }
 
     /// Returns the generation on an endpoint with the highest gain per copied token.
-    fn most_valuable_at(&self, source: &Arc<str>, now: Instant) -> Option<Ticket> {
+    fn best_candidate_at(&self, source: &Arc<str>, now: Instant) -> Option<Ticket> {
         let has_enough_left =
             |placed: &PlacedRequest| placed.tokens + MIN_REMAINING_TOKENS < placed.req.max_tokens;
         self.placed
@@ -247,12 +247,14 @@
             !disabled.allows(Mechanism::NearDestinations) || Some(&state.spec.hall) == hall
         };
         // Endpoints that refused a copy are retried only if no other has capacity.
-        for (by_near, by_refused) in [(true, false), (false, false), (true, true), (false, true)] {
+        for (near_only, refused_only) in
+            [(true, false), (false, false), (true, true), (false, true)]
+        {
             let group: Vec<&EndpointState> = open
                 .iter()
                 .copied()
-                .filter(|state| is_near(state) || !by_near)
-                .filter(|state| refused(&state.name) == by_refused)
+                .filter(|state| is_near(state) || !near_only)
+                .filter(|state| refused(&state.name) == refused_only)
                 .collect();
             if let Some(at) = self.policy.choose(&demand, &group, now) {
                 return Some(group[at].name.clone());
--- a/crates/core/src/placement/evacuation_tests.rs
+++ b/crates/core/src/placement/evacuation_tests.rs
@@ -1,4 +1,4 @@
-//! Properties of the planner that moves generations off endpoints that are leaving.
+//! Evacuation of endpoints that are leaving.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,8 +14,8 @@
 };
 use crate::testing::fixed_seed;
 
-/// A scheduler with generations that run at the first endpoint, of these sizes.
-fn with_runs(halls: &[&str], prompts: &[u64]) -> Scheduler {
+/// A scheduler with one generation per prompt length running on `e0`.
+fn with_generations(halls: &[&str], prompts: &[u64]) -> Scheduler {
     let mut scheduler = scheduler(halls, 34_000);
     for (number, prompt) in prompts.iter().enumerate() {
         scheduler.adopt(request(number as u64, *prompt, 2_000), "e0", 8, ms(1));
@@ -24,15 +24,15 @@
 }
 
 #[gtest]
-fn nothing_moves_while_nobody_leaves() {
-    let mut scheduler = with_runs(&["a", "a"], &[3_000, 2_000]);
+fn no_moves_without_leaving_endpoints() {
+    let mut scheduler = with_generations(&["a", "a"], &[3_000, 2_000]);
 
     expect_that!(scheduler.plan_relocations(ms(2)), len(eq(0)));
 }
 
 #[gtest]
-fn one_moves_at_a_time_and_the_cheapest_copy_first() {
-    let mut scheduler = with_runs(&["a", "a", "a"], &[3_000, 5_000, 1_000]);
+fn one_move_at_a_time_smallest_copy_first() {
+    let mut scheduler = with_generations(&["a", "a", "a"], &[3_000, 5_000, 1_000]);
     scheduler.endpoint_leaving("e0", true);
 
     let first = scheduler.plan_relocations(ms(2));
@@ -47,7 +47,7 @@
 }
 
 #[gtest]
-fn of_equal_copies_the_longer_answer_moves_first() {
+fn longer_response_moves_first_among_equal_copies() {
     let mut scheduler = scheduler(&["a", "a"], 34_000);
     scheduler.adopt(request(1, 2_900, 2_000), "e0", 100, ms(1));
     scheduler.adopt(request(2, 2_200, 2_000), "e0", 800, ms(1));
@@ -59,7 +59,7 @@
 }
 
 #[gtest]
-fn one_that_likely_ends_before_its_endpoint_moves_last() {
+fn generation_likely_to_end_in_time_moves_last() {
     let mut scheduler = scheduler(&["a", "a"], 34_000);
     for number in 10..60 {
         scheduler.adopt(request(number, 100, 2_000), "e1", 8, ms(1));
@@ -74,10 +74,11 @@
     expect_that!(first[0].ticket.number, eq(2));
 }
 
-/// While one generation starts again after its move, the next may use the links.
+/// The first report allows the next move while the generation restarts; a later failure must still
+/// be handled.
 #[gtest]
-fn a_move_that_ends_at_its_source_after_all_is_tried_again() {
-    let mut scheduler = with_runs(&["a", "a"], &[3_000]);
+fn move_reported_failed_after_success_is_retried() {
+    let mut scheduler = with_generations(&["a", "a"], &[3_000]);
     scheduler.endpoint_leaving("e0", true);
     let first = scheduler.plan_relocations(ms(2));
     scheduler.on_relocated(first[0].ticket, &first[0].to, true, ms(200));
@@ -90,8 +91,8 @@
 }
 
 #[gtest]
-fn a_move_that_failed_is_tried_again_after_a_pause() {
-    let mut scheduler = with_runs(&["a", "a"], &[3_000]);
+fn failed_move_is_retried_after_a_delay() {
+    let mut scheduler = with_generations(&["a", "a"], &[3_000]);
     scheduler.endpoint_leaving("e0", true);
 
     let first = scheduler.plan_relocations(ms(2));
@@ -104,8 +105,8 @@
 }
 
 #[gtest]
-fn a_generation_that_one_endpoint_refused_goes_to_another() {
-    let mut scheduler = with_runs(&["a", "a", "a"], &[3_000]);
+fn refused_generation_goes_to_another_endpoint() {
+    let mut scheduler = with_generations(&["a", "a", "a"], &[3_000]);
     scheduler.endpoint_leaving("e0", true);
 
     let first = scheduler.plan_relocations(ms(2));
@@ -119,8 +120,8 @@
 }
 
 #[gtest]
-fn a_move_that_is_never_answered_does_not_block_the_others() {
-    let mut scheduler = with_runs(&["a", "a"], &[3_000, 2_000]);
+fn unanswered_move_times_out() {
+    let mut scheduler = with_generations(&["a", "a"], &[3_000, 2_000]);
     scheduler.endpoint_leaving("e0", true);
     scheduler.plan_relocations(ms(2));
 
@@ -130,7 +131,7 @@
 }
 
 #[gtest]
-fn a_generation_that_is_nearly_done_stays() {
+fn nearly_complete_generation_stays() {
     let mut scheduler = scheduler(&["a", "a"], 34_000);
     scheduler.adopt(request(1, 3_000, 100), "e0", 90, ms(1));
     scheduler.endpoint_leaving("e0", true);
@@ -139,8 +140,8 @@
 }
 
 #[gtest]
-fn a_place_nearby_is_taken_while_it_has_room() {
-    let mut scheduler = with_runs(&["a", "b", "a"], &[3_000]);
+fn destination_in_the_same_hall_is_preferred() {
+    let mut scheduler = with_generations(&["a", "b", "a"], &[3_000]);
     scheduler.endpoint_leaving("e0", true);
 
     let moves = scheduler.plan_relocations(ms(2));
@@ -149,8 +150,8 @@
 }
 
 #[gtest]
-fn nothing_is_moved_to_an_endpoint_that_leaves_too() {
-    let mut scheduler = with_runs(&["a", "a"], &[3_000]);
+fn no_move_to_a_leaving_endpoint() {
+    let mut scheduler = with_generations(&["a", "a"], &[3_000]);
     scheduler.endpoint_leaving("e0", true);
     scheduler.endpoint_leaving("e1", true);
 
@@ -160,10 +161,10 @@
 proptest! {
     #![proptest_config(fixed_seed(300))]
 
-    /// Whatever happens, an endpoint sends one copy and receives one at a time, nothing goes
-    /// to an endpoint that leaves, and all that is placed is accounted for once.
+    /// Under random input, each endpoint takes part in one move at a time, no move targets a leaving
+    /// endpoint, and each request is accounted for once.
     #[test]
-    fn moves_keep_their_bounds(
+    fn concurrent_moves_stay_within_limits(
         steps in proptest::collection::vec((0u8..6, 0u64..8, any::<bool>()), 1..120),
     ) {
         let mut scheduler = scheduler(&["a", "a", "b", "b"], 34_000);
--- a/crates/core/src/placement/expiry.rs
+++ b/crates/core/src/placement/expiry.rs
@@ -36,8 +36,8 @@
     /// Rejects requests for targets whose data halls are all out of service, since operators take
     /// minutes to restore them.
     pub(super) fn give_up_out_of_service(&mut self, now: Instant) -> Vec<Action> {
-        let waited_for = self.targets.iter().filter(|(_, target)| 0 < target.queue.len());
-        let out: Vec<EndpointTarget> = waited_for
+        let with_queue = self.targets.iter().filter(|(_, target)| 0 < target.queue.len());
+        let out: Vec<EndpointTarget> = with_queue
             .map(|(name, _)| name.clone())
             .filter(|target| self.is_target_out_of_service(target))
             .collect();
--- a/crates/core/src/placement/forecast.rs
+++ b/crates/core/src/placement/forecast.rs
@@ -74,33 +74,34 @@
 
     /// Probability that a response with `so_far` tokens exceeds `so_far + ahead` tokens.
     pub fn probability_beyond(&self, so_far: u64, ahead: u64) -> f64 {
-        let here = self.at_least(so_far);
-        if here <= 0.0 { 0.0 } else { (self.at_least(so_far + ahead) / here).min(1.0) }
+        let current = self.weight_at_least(so_far);
+        if current <= 0.0 { 0.0 } else { (self.weight_at_least(so_far + ahead) / current).min(1.0) }
     }
 
     /// Expected number of further tokens of a response with `so_far` tokens, which ends at `most` at
     /// the latest.
-    pub(crate) fn expected_remaining(&self, so_far: u64, most: u64) -> f64 {
-        let here = self.at_least(so_far);
-        if here <= 0.0 {
+    pub(crate) fn expected_remaining(&self, so_far: u64, max_tokens: u64) -> f64 {
+        let current = self.weight_at_least(so_far);
+        if current <= 0.0 {
             return 0.0;
         }
         let mut sum = 0.0;
         let mut from = so_far;
-        while from < most {
-            let to = bucket_end(from).min(most);
-            sum += (to - from) as f64 * (self.at_least(from) + self.at_least(to)) / 2.0;
+        while from < max_tokens {
+            let to = bucket_end(from).min(max_tokens);
+            sum +=
+                (to - from) as f64 * (self.weight_at_least(from) + self.weight_at_least(to)) / 2.0;
             from = to;
         }
-        sum / here
+        sum / current
     }
 
     /// Weight of lengths of at least `tokens`, interpolated within the bucket.
-    fn at_least(&self, tokens: u64) -> f64 {
+    fn weight_at_least(&self, tokens: u64) -> f64 {
         let position = (tokens.max(1) as f64).log2() * BUCKETS_PER_OCTAVE;
         let bucket = bucket(tokens);
-        let part = (position - bucket as f64).clamp(0.0, 1.0);
-        self.above[bucket] - self.counts[bucket] * part
+        let fraction = (position - bucket as f64).clamp(0.0, 1.0);
+        self.above[bucket] - self.counts[bucket] * fraction
     }
 
     fn recompute_sums(&mut self) {
--- a/crates/core/src/placement/hall_tests.rs
+++ b/crates/core/src/placement/hall_tests.rs
@@ -13,7 +13,7 @@
     HallsOut { number, names: names.iter().map(|name| (*name).to_owned()).collect() }
 }
 
-/// Where requests are placed now, by their numbers.
+/// Decides and returns the number and endpoint of each started request.
 fn placed(scheduler: &mut Scheduler, at: u64) -> Vec<(u64, String)> {
     let start = |action| match action {
         Action::Start { ticket, endpoint, .. } => Some((ticket.number, endpoint.to_string())),
@@ -23,7 +23,7 @@
 }
 
 #[gtest]
-fn nothing_is_placed_in_a_hall_that_is_out() {
+fn no_placement_in_a_hall_out_of_service() {
     let mut scheduler = scheduler(&["a", "b"], 34_000);
     scheduler.set_halls_out(&halls_out(1, &["a"]));
 
@@ -37,7 +37,7 @@
 }
 
 #[gtest]
-fn a_hall_that_is_back_takes_work_again() {
+fn restored_hall_gets_requests() {
     let mut scheduler = scheduler(&["a"], 34_000);
     scheduler.set_halls_out(&halls_out(1, &["a"]));
     let while_out = scheduler.enqueue(request(1, 500, 100), ms(1));
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn what_waits_is_given_up_at_once_when_its_last_hall_is_taken_out() {
+fn queued_requests_are_rejected_without_a_hall_in_service() {
     let mut scheduler = scheduler(&["a", "b"], 3_000);
     for number in 0..5 {
         scheduler.enqueue(request(number, 2_000, 500), ms(1)).unwrap();
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn an_endpoint_that_leaves_a_hall_that_is_out_is_emptied_into_another_hall() {
+fn leaving_endpoint_is_evacuated_to_another_hall() {
     let mut scheduler = scheduler(&["a", "a", "b"], 34_000);
     scheduler.adopt(request(1, 1_000, 2_000), "e0", 8, ms(1));
     scheduler.set_halls_out(&halls_out(1, &["a"]));
@@ -85,7 +85,7 @@
 }
 
 #[gtest]
-fn engines_that_are_new_in_a_hall_that_is_out_get_nothing() {
+fn new_engines_in_a_hall_out_of_service_get_no_requests() {
     let mut scheduler = scheduler(&["a"], 34_000);
     scheduler.set_halls_out(&halls_out(1, &["b"]));
 
@@ -100,25 +100,25 @@
 }
 
 #[gtest]
-fn a_daemon_alone_draws_nothing_in_a_hall_that_is_out() {
+fn local_scheduler_samples_only_halls_in_service() {
     let mut scheduler = Scheduler::local(Disabled::default(), 3);
     scheduler.configure(&super::fixture::engines(&["a", "b", "a"], 34_000));
     scheduler.set_halls_out(&halls_out(1, &["a"]));
 
     scheduler.enqueue(request(1, 500, 100), ms(1)).unwrap();
     scheduler.decide(ms(1));
-    let drawn = scheduler.sampled_endpoints(Ticket { entry: 1, number: 1 }, ms(1));
+    let sampled = scheduler.sampled_endpoints(Ticket { entry: 1, number: 1 }, ms(1));
 
-    let names: Vec<&str> = drawn.iter().map(|drawn| &*drawn.endpoint).collect();
+    let names: Vec<&str> = sampled.iter().map(|sampled| &*sampled.endpoint).collect();
     expect_that!(names, elements_are![eq(&"e1")]);
 }
 
 proptest! {
     #![proptest_config(fixed_seed(100))]
 
-    /// Whatever is ordered, arrives, leaves and moves: nothing is sent to a hall that is out.
+    /// No request or move targets a hall that is out of service, under random input.
     #[test]
-    fn no_decision_leads_into_a_hall_that_is_out(
+    fn no_request_or_move_enters_a_hall_out_of_service(
         steps in proptest::collection::vec((0u8..5, 0usize..6, 1u64..3_000), 1..80),
     ) {
         let halls = ["a", "a", "b", "b", "c", "c"];
--- a/crates/core/src/placement/handover.rs
+++ b/crates/core/src/placement/handover.rs
@@ -48,17 +48,17 @@
 impl Scheduler {
     /// Returns the hand-overs to start now.
     pub(super) fn plan_handovers(&mut self, now: Instant) -> Vec<Relocation> {
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         for _ in 0..self.handover.waiting.len() {
             let Some(candidate) = self.handover.waiting.pop_front() else { break };
             match self.handover_decision(candidate.ticket, now) {
                 Decision::Stay => {}
                 Decision::Wait if candidate.until <= now => {}
                 Decision::Wait => self.handover.waiting.push_back(candidate),
-                Decision::Move(to) => begun.extend(self.start_move(candidate.ticket, &to, now)),
+                Decision::Move(to) => started.extend(self.start_move(candidate.ticket, &to, now)),
             }
         }
-        begun
+        started
     }
 
     /// Decides whether a generation should continue on another endpoint.
--- a/crates/core/src/placement/handover_tests.rs
+++ b/crates/core/src/placement/handover_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of generations that are handed over once their prompt has been read.
+//! Hand-over of generations after prefill.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -11,15 +11,14 @@
 };
 use crate::testing::fixed_seed;
 
-/// A chat whose answer is expected to be long, and that may wait for its first token.
+/// A chat with a long expected response and a relaxed TTFT target.
 fn chat(number: u64) -> Request {
     let ttft_target = Duration::from_secs(60);
     Request { ttft_target, ..request(number, 3_000, 2_000) }
 }
 
-/// A scheduler of engines in these data halls, where `e0` reads prompts most of its time and then
-/// is given a chat, which is request 1.
-fn read_at_first(halls: &[&str]) -> Scheduler {
+/// A scheduler in which `e0` has many prompts to prefill and runs chat 1; the other engines are idle.
+fn prefill_heavy_first(halls: &[&str]) -> Scheduler {
     let mut scheduler = scheduler(halls, 200_000);
     for number in 10..200 {
         scheduler.adopt(chat(number), "e0", 1, ms(1));
@@ -47,8 +46,8 @@
 const CHAT: Ticket = Ticket { entry: 1, number: 1 };
 
 #[gtest]
-fn a_chat_goes_on_where_less_is_read_after_its_first_token() {
-    let mut scheduler = read_at_first(&["h", "h"]);
+fn chat_is_handed_over_after_first_token() {
+    let mut scheduler = prefill_heavy_first(&["h", "h"]);
     let before = scheduler.plan_relocations(ms(900));
     scheduler.progress(CHAT, 4, ms(1_000));
 
@@ -60,23 +59,23 @@
 }
 
 #[gtest]
-fn a_short_answer_stays_where_it_was_read() {
-    let mut scheduler = read_at_first(&["h", "h"]);
+fn short_response_is_not_handed_over() {
+    let mut scheduler = prefill_heavy_first(&["h", "h"]);
     scheduler.progress(Ticket { entry: 1, number: 200 }, 4, ms(1_000));
 
     expect_that!(scheduler.plan_relocations(ms(1_001)), len(eq(0)));
 }
 
 #[gtest]
-fn a_chat_stays_in_its_data_hall() {
-    let mut scheduler = read_at_first(&["h", "far"]);
+fn no_handover_to_another_hall() {
+    let mut scheduler = prefill_heavy_first(&["h", "far"]);
     scheduler.progress(CHAT, 4, ms(1_000));
 
     expect_that!(scheduler.plan_relocations(ms(1_001)), len(eq(0)));
 }
 
 #[gtest]
-fn a_chat_that_a_new_scheduler_adopts_is_not_handed_over() {
+fn adopted_chat_is_not_handed_over() {
     let mut scheduler = scheduler(&["h", "h"], 200_000);
     scheduler.adopt(chat(1), "e0", 100, ms(1));
 
@@ -84,8 +83,8 @@
 }
 
 #[gtest]
-fn a_generation_at_an_endpoint_that_leaves_goes_before_one_that_is_handed_over() {
-    let mut scheduler = read_at_first(&["h", "h", "h"]);
+fn evacuation_precedes_handover() {
+    let mut scheduler = prefill_heavy_first(&["h", "h", "h"]);
     scheduler.adopt(chat(2), "e2", 50, ms(900));
     scheduler.endpoint_leaving("e2", true);
     scheduler.progress(CHAT, 4, ms(1_000));
@@ -97,8 +96,8 @@
 }
 
 #[gtest]
-fn a_chat_whose_links_stay_in_use_stays_where_it_is() {
-    let mut scheduler = read_at_first(&["h", "h", "h"]);
+fn handover_is_dropped_while_links_stay_busy() {
+    let mut scheduler = prefill_heavy_first(&["h", "h", "h"]);
     scheduler.adopt(chat(2), "e2", 50, ms(900));
     scheduler.endpoint_leaving("e2", true);
     scheduler.plan_relocations(ms(999));
@@ -117,10 +116,10 @@
 proptest! {
     #![proptest_config(fixed_seed(200))]
 
-    /// Whatever comes in whatever order: one move at a time uses an endpoint, nothing is moved to
-    /// one that leaves, and what is placed is accounted for once.
+    /// Under random input, each endpoint takes part in one move at a time, no move targets a leaving
+    /// endpoint, and each request is accounted for once.
     #[test]
-    fn hand_overs_keep_the_bounds_of_moves(
+    fn handovers_stay_within_move_limits(
         steps in proptest::collection::vec((0u8..6, 0u64..8, any::<bool>()), 1..150),
     ) {
         let mut scheduler = scheduler(&["a", "a", "a", "b"], 34_000);
--- a/crates/core/src/placement/isolation_tests.rs
+++ b/crates/core/src/placement/isolation_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of requests that run apart from others.
+//! Placement of isolated requests.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
     fixture::{ms, request, scheduler},
 };
 
-/// A request that runs apart and may wait long.
-fn apart(number: u64) -> Request {
+/// An isolated request with a long maximum wait.
+fn isolated(number: u64) -> Request {
     let long = Duration::from_secs(60);
     Request { isolated: true, max_wait: long, ttft_target: long, ..request(number, 100, 1_000) }
 }
 
-/// Starts requests, and returns where each went.
+/// Enqueues requests, decides, and returns the number and endpoint of each started request.
 fn start(scheduler: &mut Scheduler, requests: Vec<Request>, at: u64) -> Vec<(u64, String)> {
     for req in requests {
         scheduler.enqueue(req, ms(at)).unwrap();
@@ -35,7 +35,7 @@
     numbers.map(|number| request(number, 100, 1_000)).collect()
 }
 
-/// A scheduler of engines with the same number of chats at each, which have all begun.
+/// A scheduler with `chats_each` chats per engine, all past their first token.
 fn busy(engines: usize, chats_each: u64) -> Scheduler {
     let mut scheduler = scheduler(&vec!["h"; engines], 1_000_000);
     let chats = start(&mut scheduler, plain(1_000..1_000 + engines as u64 * chats_each), 0);
@@ -46,14 +46,14 @@
 }
 
 #[gtest]
-fn nothing_else_is_sent_to_its_engine_until_it_has_begun_well() {
+fn engine_is_reserved_until_request_is_established() {
     let mut scheduler = busy(4, 1);
-    let at = start(&mut scheduler, vec![apart(1)], 10).remove(0).1;
+    let at = start(&mut scheduler, vec![isolated(1)], 10).remove(0).1;
 
     let beside = start(&mut scheduler, plain(2..40), 20);
-    scheduler.progress(apart(1).ticket, 4, ms(30));
+    scheduler.progress(isolated(1).ticket, 4, ms(30));
     let after_first_event = start(&mut scheduler, plain(40..60), 40);
-    scheduler.progress(apart(1).ticket, 32, ms(50));
+    scheduler.progress(isolated(1).ticket, 32, ms(50));
     let after = start(&mut scheduler, plain(60..100), 60);
 
     expect_that!(beside.iter().filter(|(_, endpoint)| *endpoint == at).count(), eq(0));
@@ -62,11 +62,11 @@
 }
 
 #[gtest]
-fn it_waits_until_nothing_else_is_about_to_begin_there() {
+fn waits_for_pending_first_tokens_on_its_engine() {
     let mut scheduler = busy(2, 0);
     let before = start(&mut scheduler, plain(10..20), 0);
 
-    let at_once = start(&mut scheduler, vec![apart(1)], 10);
+    let at_once = start(&mut scheduler, vec![isolated(1)], 10);
     for (number, _) in &before {
         scheduler.progress(request(*number, 0, 0).ticket, 4, ms(20));
     }
@@ -77,11 +77,11 @@
 }
 
 #[gtest]
-fn it_goes_where_the_fewest_would_be_lost() {
+fn starts_on_the_least_loaded_engine() {
     let mut scheduler = busy(4, 3);
     let emptied: Vec<_> =
         (0..4).map(|i| scheduler.endpoint(&format!("e{i}")).unwrap().running()).collect();
-    let at = start(&mut scheduler, vec![apart(1)], 10).remove(0).1;
+    let at = start(&mut scheduler, vec![isolated(1)], 10).remove(0).1;
 
     let of_it = scheduler.endpoint(&at).unwrap().running() - 1;
 
@@ -89,10 +89,10 @@
 }
 
 #[gtest]
-fn most_engines_are_left_to_others() {
+fn reservations_leave_most_engines_to_others() {
     let mut scheduler = busy(8, 1);
 
-    let started = start(&mut scheduler, (1..10).map(apart).collect(), 10);
+    let started = start(&mut scheduler, (1..10).map(isolated).collect(), 10);
     let others = start(&mut scheduler, plain(20..60), 20);
 
     expect_that!(started.len(), eq(2));
@@ -100,10 +100,10 @@
 }
 
 #[gtest]
-fn the_only_engine_is_not_kept_from_others() {
+fn only_engine_is_not_reserved() {
     let mut scheduler = busy(1, 1);
 
-    let started = start(&mut scheduler, vec![apart(1)], 10);
+    let started = start(&mut scheduler, vec![isolated(1)], 10);
     let others = start(&mut scheduler, plain(20..25), 20);
 
     expect_that!(started.len(), eq(1));
@@ -111,14 +111,14 @@
 }
 
 #[gtest]
-fn an_engine_is_free_again_when_its_request_ends_or_waits_no_more() {
+fn reservation_ends_with_its_request() {
     let mut scheduler = busy(2, 0);
-    let at = start(&mut scheduler, vec![apart(1), apart(2)], 0);
+    let at = start(&mut scheduler, vec![isolated(1), isolated(2)], 0);
     expect_that!(at.len(), eq(1));
 
-    scheduler.finish(apart(1).ticket, 0, false, ms(10));
+    scheduler.finish(isolated(1).ticket, 0, false, ms(10));
     let next = decide(&mut scheduler, 10);
-    scheduler.cancel(apart(2).ticket, ms(20));
+    scheduler.cancel(isolated(2).ticket, ms(20));
     let others = start(&mut scheduler, plain(10..30), 30);
 
     expect_that!(next, elements_are![(eq(&2), anything())]);
@@ -127,10 +127,10 @@
 }
 
 #[gtest]
-fn one_whose_engine_fails_while_it_waits_gets_another() {
+fn failed_engine_is_replaced_while_waiting() {
     let mut scheduler = busy(2, 0);
     let before = start(&mut scheduler, plain(10..20), 0);
-    expect_that!(start(&mut scheduler, vec![apart(1)], 10), is_empty());
+    expect_that!(start(&mut scheduler, vec![isolated(1)], 10), is_empty());
     let kept = ["e0", "e1"]
         .into_iter()
         .find(|name| !scheduler.endpoint(name).unwrap().is_available(ms(10)));
@@ -146,11 +146,11 @@
 }
 
 #[gtest]
-fn it_is_given_up_when_it_has_waited_for_long_enough() {
+fn isolated_request_expires() {
     let mut scheduler = busy(2, 0);
     start(&mut scheduler, plain(10..20), 0);
     let short = Duration::from_millis(100);
-    scheduler.enqueue(Request { max_wait: short, ..apart(1) }, ms(10)).unwrap();
+    scheduler.enqueue(Request { max_wait: short, ..isolated(1) }, ms(10)).unwrap();
 
     let actions = scheduler.decide(ms(120));
 
--- a/crates/core/src/placement/policy/forecast.rs
+++ b/crates/core/src/placement/policy/forecast.rs
@@ -87,7 +87,8 @@
         has_room && meets_ttft_target(demand, endpoint, now)
     }
 
-    /// Total cost of this endpoint in seconds, or in weighted seconds with value weights.
+    /// Cost of placing the request on this endpoint: the load for services, otherwise the delay in
+    /// seconds, weighted by generation value if that mechanism is enabled.
     fn cost(
         &self,
         demand: &Demand,
@@ -102,9 +103,9 @@
         let kv = endpoint.spec.kv_tokens as f64;
         let cached = endpoint.has_prefix(demand.prefix, now);
         let saved = if cached { demand.prompt_tokens as f64 / kv } else { 0.0 };
-        let load_cost = self.memory_fraction(demand, endpoint) + self.load_value * load
+        let utilization = self.memory_fraction(demand, endpoint) + self.load_value * load
             - self.if_enabled(Mechanism::PrefixAffinity, self.prefix_value * saved);
-        let own = MEMORY_COST_SECONDS * load_cost
+        let own = MEMORY_COST_SECONDS * utilization
             + self.ttft_cost(demand, endpoint, now)
             + self.decode_cost(demand, endpoint, baseline, now);
         let stall = endpoint.prefill.stall_time(demand.prompt_tokens).as_secs_f64();
--- a/crates/core/src/placement/policy/power_of_two.rs
+++ b/crates/core/src/placement/policy/power_of_two.rs
@@ -29,7 +29,7 @@
 
 impl Policy for PowerOfTwoChoices {
     fn name(&self) -> &'static str {
-        "two-drawn"
+        "two-sampled"
     }
 
     fn choose(
@@ -40,16 +40,16 @@
     ) -> Option<usize> {
         let has_room = |at: &usize| self.inner.fits(demand, endpoints[*at], now);
         let mut open: Vec<usize> = (0..endpoints.len()).filter(has_room).collect();
-        let mut drawn = Vec::new();
-        while drawn.len() < 2 && !open.is_empty() {
+        let mut sampled = Vec::new();
+        while sampled.len() < 2 && !open.is_empty() {
             let at = self.rng.usize(..open.len());
             // Sample slow endpoints with lower probability, in proportion to their speed.
             let is_last = open.len() == 1;
             if is_last || self.rng.f64() * endpoints[open[at]].reported_slowness(now) < 1.0 {
-                drawn.push(open.swap_remove(at));
+                sampled.push(open.swap_remove(at));
             }
         }
-        let choices: Vec<&EndpointState> = drawn.iter().map(|at| endpoints[*at]).collect();
-        self.inner.choose(demand, &choices, now).map(|at| drawn[at])
+        let choices: Vec<&EndpointState> = sampled.iter().map(|at| endpoints[*at]).collect();
+        self.inner.choose(demand, &choices, now).map(|at| sampled[at])
     }
 }
--- a/crates/core/src/placement/prefill_tests.rs
+++ b/crates/core/src/placement/prefill_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of where prompts are read, and of what that means for others.
+//! Placement by prefill load, and estimates of prefill speed.
 
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 };
 use crate::{testing::fixed_seed, units::Instant};
 
-/// A short answer to a long prompt.
+/// A long prompt with a short response.
 fn short(number: u64) -> Request {
     let ttft_target = Duration::from_secs(60);
     Request { kind: "short".into(), ttft_target, ..request(number, 2_500, 12) }
 }
 
-/// Lets a request end as soon as its prompt would have been read.
-fn ends(scheduler: &mut Scheduler, req: &Request, now: Instant) {
+/// Finishes a request at the expected end of its prefill.
+fn finish_after_prefill(scheduler: &mut Scheduler, req: &Request, now: Instant) {
     scheduler.finish(req.ticket, 12, true, now.after(prefill_time(req.prompt_tokens)));
 }
 
-/// A scheduler that knows how long answers are, of engines that run these many chats each.
+/// A scheduler with known output lengths and this many chats running on each engine.
 fn running(chats: &[u64]) -> Scheduler {
     let mut scheduler = scheduler(&vec!["h"; chats.len()], 200_000);
     for number in 1_000..1_100 {
@@ -40,7 +40,7 @@
     scheduler
 }
 
-/// Where a request is placed.
+/// Enqueues a request and returns the endpoint on which it starts.
 fn placed(scheduler: &mut Scheduler, req: Request, now: Instant) -> String {
     scheduler.enqueue(req, now).unwrap();
     match &scheduler.decide(now)[..] {
@@ -50,21 +50,21 @@
 }
 
 #[gtest]
-fn a_prompt_with_a_short_answer_is_read_where_the_fewest_are_held_up() {
+fn short_response_goes_where_it_delays_fewest() {
     let mut scheduler = running(&[4, 1, 4]);
 
     expect_that!(placed(&mut scheduler, short(100), ms(10)), eq("e1"));
 }
 
 #[gtest]
-fn short_answers_gather_and_chats_stay_away_from_them() {
+fn short_responses_cluster_and_chats_avoid_them() {
     let mut scheduler = running(&[3, 3, 0]);
 
     let mut at = Vec::new();
     for n in 100..110 {
         at.push(placed(&mut scheduler, short(n), ms(n * 400)));
         if n < 109 {
-            ends(&mut scheduler, &short(n), ms(n * 400));
+            finish_after_prefill(&mut scheduler, &short(n), ms(n * 400));
         }
     }
     let chat = placed(&mut scheduler, request(200, 3_000, 2_000), ms(109 * 400 + 10));
@@ -74,7 +74,7 @@
 }
 
 #[gtest]
-fn a_request_that_would_begin_too_late_goes_where_it_holds_others_up() {
+fn ttft_target_outweighs_delay_of_others() {
     let mut scheduler = running(&[4, 0]);
     for number in 100..104 {
         placed(&mut scheduler, short(number), ms(10));
@@ -85,20 +85,20 @@
 }
 
 #[gtest]
-fn an_engine_whose_prompts_are_unread_for_longer_than_reckoned_gets_no_more_of_them() {
+fn overdue_prefill_keeps_new_prompts_away() {
     let mut scheduler = running(&[0, 3]);
     for number in 100..106 {
         scheduler.adopt(short(number), "e0", 0, ms(10));
     }
 
-    // Six prompts of 0.36 s by reckoning.
+    // Six prompts with an estimated prefill time of 0.36 s each.
     let at = placed(&mut scheduler, short(200), ms(2_500));
 
     expect_that!(at, eq("e1"));
 }
 
 #[gtest]
-fn the_time_between_first_tokens_tells_how_fast_an_engine_reads() {
+fn prefill_speed_follows_first_token_intervals() {
     let mut reading = PrefillQueue::default();
     let ticket = |number| Ticket { entry: 1, number };
     for number in 0..8 {
@@ -114,7 +114,7 @@
 }
 
 #[gtest]
-fn the_order_in_which_prompts_are_read_makes_no_engine_slow() {
+fn prefill_order_does_not_affect_speed() {
     let mut reading = PrefillQueue::default();
     let ticket = |number| Ticket { entry: 1, number };
     reading.push(ticket(1), 3_500, ms(0));
@@ -130,9 +130,9 @@
 proptest! {
     #![proptest_config(fixed_seed(200))]
 
-    /// The part of the time that goes to reading follows the prompts given, and fades.
+    /// Prefill utilization follows the rate of prompt tokens and decays without new prompts.
     #[test]
-    fn the_part_spent_on_reading_follows_the_rate_of_prompt_tokens(
+    fn utilization_follows_prompt_token_rate(
         tokens in 100u64..5_000,
         gap_ms in 50u64..1_000,
     ) {
@@ -153,7 +153,7 @@
 }
 
 #[gtest]
-fn the_chance_to_end_in_time_follows_the_lengths_seen() {
+fn completion_probability_follows_recorded_lengths() {
     let mut scheduler = scheduler(&["h"], 200_000);
     for number in 0..200 {
         scheduler.adopt(request(number, 10, 2_000), "e0", 1, ms(1));
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -42,7 +42,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Tier {
+struct RankQueue {
     len: usize,
     by_service: BTreeSet<FairnessKey>,
     waiting: HashMap<Arc<str>, VecDeque<WaitingRequest>>,
@@ -51,7 +51,7 @@
     virtual_time: NormalizedService,
 }
 
-impl Tier {
+impl RankQueue {
     fn key(&self, workspace: &Arc<str>) -> FairnessKey {
         let service = self.served.get(workspace).copied().unwrap_or(self.virtual_time);
         FairnessKey { service, workspace: workspace.clone() }
@@ -113,7 +113,7 @@
 /// The queue of one target.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    tiers: BTreeMap<u64, Tier>,
+    ranks: BTreeMap<u64, RankQueue>,
     /// Workspaces at their limit of running requests; their queued requests are not eligible.
     at_limit: HashSet<Arc<str>>,
     len: usize,
@@ -126,13 +126,13 @@
 
     /// Number of requests that are served before a new one of this rank.
     pub(crate) fn ahead_of(&self, rank: u64) -> usize {
-        self.tiers.range(..=rank).map(|(_, tier)| tier.len).sum()
+        self.ranks.range(..=rank).map(|(_, rank_queue)| rank_queue.len).sum()
     }
 
     pub(crate) fn push(&mut self, req: Request, arrived: Instant) {
         self.len += 1;
         let at_limit = self.at_limit.contains(&req.workspace);
-        self.tiers.entry(req.rank).or_default().push(WaitingRequest { req, arrived }, at_limit);
+        self.ranks.entry(req.rank).or_default().push(WaitingRequest { req, arrived }, at_limit);
     }
 
     /// Returns the first request of each rank in the order of service. Each `ageing` of waiting time
@@ -142,7 +142,8 @@
             let tiers = now.since(w.arrived).as_secs_f64() / ageing.as_secs_f64();
             w.req.rank as f64 - tiers * RANKS_PER_TIER as f64
         };
-        let mut heads: Vec<&WaitingRequest> = self.tiers.values().filter_map(Tier::head).collect();
+        let mut heads: Vec<&WaitingRequest> =
+            self.ranks.values().filter_map(RankQueue::head).collect();
         heads.sort_by(|a, b| aged_rank(a).total_cmp(&aged_rank(b)));
         heads
     }
@@ -153,16 +154,16 @@
         workspace: &Arc<str>,
         ticket: Ticket,
     ) -> Option<WaitingRequest> {
-        let waiting = self.tiers.get_mut(&rank)?.remove(workspace, ticket)?;
+        let waiting = self.ranks.get_mut(&rank)?.remove(workspace, ticket)?;
         self.len -= 1;
         Some(waiting)
     }
 
     /// Advances the virtual time to the service of the selected workspace.
     pub(crate) fn advance_virtual_time(&mut self, rank: u64, workspace: &Arc<str>) {
-        if let Some(tier) = self.tiers.get_mut(&rank) {
-            let service = tier.key(workspace).service;
-            tier.virtual_time = tier.virtual_time.max(service);
+        if let Some(rank_queue) = self.ranks.get_mut(&rank) {
+            let service = rank_queue.key(workspace).service;
+            rank_queue.virtual_time = rank_queue.virtual_time.max(service);
         }
     }
 
@@ -176,14 +177,14 @@
         if !changed {
             return;
         }
-        for tier in self.tiers.values_mut() {
-            tier.set_at_limit(workspace, at_limit);
+        for rank_queue in self.ranks.values_mut() {
+            rank_queue.set_at_limit(workspace, at_limit);
         }
     }
 
     /// Charges served tokens to a workspace.
     pub(crate) fn charge(&mut self, rank: u64, workspace: &Arc<str>, share: u64, tokens: u64) {
-        let tier = self.tiers.entry(rank).or_default();
-        tier.charge(workspace, tokens as f64 / share as f64);
+        let rank_queue = self.ranks.entry(rank).or_default();
+        rank_queue.charge(workspace, tokens as f64 / share as f64);
     }
 }
--- a/crates/core/src/placement/scheduler.rs
+++ b/crates/core/src/placement/scheduler.rs
@@ -127,7 +127,7 @@
     /// Requests held until the back-off of their daemon ends.
     pub(super) held: Vec<HeldRequest>,
     pub(super) retry_spreader: RetrySpreader,
-    /// Seed of a daemon-local scheduler; `None` for the cluster's scheduler.
+    /// Seed of a daemon-local scheduler; `None` for the central scheduler.
     pub(super) local_seed: Option<u64>,
     /// Time of the last call to [`Scheduler::decide`].
     pub(super) last_decision: Instant,
@@ -164,12 +164,12 @@
     }
 
     /// Creates a scheduler that uses [`ForecastPolicy`] without the disabled mechanisms.
-    pub(crate) fn by_forecast(disabled: Disabled) -> Scheduler {
+    pub(crate) fn with_forecast(disabled: Disabled) -> Scheduler {
         let limits = SchedulerLimits { disabled, ..SchedulerLimits::default() };
         Scheduler::new(limits, Box::new(ForecastPolicy::without(disabled)))
     }
 
-    /// Creates the scheduler that a daemon uses for its own requests while no cluster scheduler
+    /// Creates the scheduler that a daemon uses for its own requests while no central scheduler
     /// answers. The seed must differ between daemons. Hand-overs are disabled, since the daemon
     /// does not know the prefill load of the engines.
     pub fn local(disabled: Disabled, seed: u64) -> Scheduler {
@@ -192,11 +192,11 @@
     pub fn sampled_endpoints(&mut self, ticket: Ticket, now: Instant) -> Vec<SampledEndpoint> {
         let first = self.placed.get(&ticket).map(|placed| placed.endpoint.clone());
         let other = self.alternative_for(ticket, now);
-        let drawn = |endpoint: Arc<str>| {
+        let sampled = |endpoint: Arc<str>| {
             let slowness = self.endpoints.get(&endpoint).map_or(1.0, |e| e.reported_slowness(now));
             SampledEndpoint { endpoint, slowness }
         };
-        first.into_iter().chain(other).map(drawn).collect()
+        first.into_iter().chain(other).map(sampled).collect()
     }
 
     fn alternative_for(&mut self, ticket: Ticket, now: Instant) -> Option<Arc<str>> {
@@ -243,7 +243,7 @@
         }
         let waiting = self.counts.get(&req.workspace).map_or(0, |count| count.waiting);
         if req.max_waiting <= waiting {
-            let message = "the workspace has as many requests waiting as it may";
+            let message = "the workspace has reached its limit of queued requests";
             return Err(RequestError::new(ErrorKind::WorkspaceLimit, message));
         }
         let Some(target) = self.targets.get(&req.target) else {
--- a/crates/core/src/placement/speed_baseline.rs
+++ b/crates/core/src/placement/speed_baseline.rs
@@ -1,7 +1,7 @@
 //! Speeds of the fastest endpoints of a set, and the slowness of others relative to them.
 //!
 //! Equal engines differ in decode speed by their prefill load: prefill about doubles the time per
-//! token of all streams. Prefill speed does not depend on load, since prompts are prefilled
+//! token of all streams. Prefill speed hardly depends on load, since prompts are prefilled
 //! sequentially, and therefore shows the inherent speed of an engine.
 
 use super::{endpoint::EndpointState, token_latency};
--- a/crates/core/src/placement/target.rs
+++ b/crates/core/src/placement/target.rs
@@ -50,7 +50,7 @@
         self.prefix_endpoints.insert(prefix, endpoint.clone());
     }
 
-    /// Updates the average start interval. Only starts from a non-empty queue count.
+    /// Updates the average start interval. Only intervals in which requests were queued count.
     pub(super) fn record_start(&mut self, now: Instant) {
         const EWMA_WEIGHT: f64 = 0.05;
         if let Some(last) = self.last_queued_start {
--- a/crates/core/src/placement/tests.rs
+++ b/crates/core/src/placement/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of placement.
+//! General tests of the scheduler and the length forecast.
 
 use googletest::prelude::*;
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Numbers of the requests that are started, in their order.
+/// Numbers of the started requests, in order.
 fn started(actions: &[Action]) -> Vec<u64> {
     let number = |action: &Action| match action {
         Action::Start { ticket, .. } => Some(ticket.number),
@@ -53,7 +53,7 @@
 const START: Instant = Instant(0);
 
 #[gtest]
-fn a_lower_rank_is_served_first_and_workspaces_take_turns_by_tokens_served() {
+fn lower_ranks_first_then_fair_between_workspaces() {
     let mut scheduler = scheduler(1, 1, 100_000);
     scheduler.enqueue(request(0, "big", 2), START).unwrap();
     assert_that!(started(&scheduler.decide(START)), elements_are![eq(&0)]);
@@ -71,7 +71,7 @@
 }
 
 #[gtest]
-fn a_request_that_waited_too_long_is_given_up_at_once_with_a_time_to_come_back() {
+fn expired_request_is_rejected_with_retry_after() {
     let mut scheduler = scheduler(1, 1, 100_000);
     scheduler.enqueue(request(0, "w", 1), START).unwrap();
     scheduler.enqueue(request(1, "w", 1), START).unwrap();
@@ -88,7 +88,7 @@
 }
 
 #[gtest]
-fn a_leaving_endpoint_gets_no_new_work() {
+fn leaving_endpoint_gets_no_requests() {
     let mut scheduler = scheduler(1, 10, 100_000);
     scheduler.endpoint_leaving("e0", true);
 
@@ -98,7 +98,7 @@
 }
 
 #[gtest]
-fn the_forecast_holds_back_what_memory_would_not_hold() {
+fn forecast_limits_admission_to_memory() {
     let mut scheduler = scheduler(1, 1000, 1000);
     for number in 0..200 {
         scheduler.enqueue(request(number, "w", 1), START).unwrap();
@@ -111,7 +111,7 @@
 }
 
 #[gtest]
-fn a_lagged_report_is_corrected_by_later_grants() {
+fn delayed_load_report_is_adjusted_by_later_grants() {
     let mut scheduler = scheduler(1, 4, 100_000);
     scheduler.enqueue(request(0, "w", 1), Instant(10)).unwrap();
     scheduler.decide(Instant(10));
@@ -125,7 +125,7 @@
 }
 
 #[gtest]
-fn cancelling_everything_leaves_nothing_accounted() {
+fn cancelling_all_requests_clears_accounting() {
     let mut scheduler = scheduler(2, 3, 100_000);
     for number in 0..20 {
         scheduler.enqueue(request(number, "w", 1), START).unwrap();
@@ -139,7 +139,7 @@
 }
 
 #[gtest]
-fn idle_time_is_not_taken_for_slowness() {
+fn idle_time_does_not_raise_expected_wait() {
     let mut scheduler = scheduler(1, 1, 100_000);
     let later = Instant(3_600_000_000);
     for (number, now) in [(0, START), (1, later)] {
@@ -155,7 +155,7 @@
 }
 
 #[gtest]
-fn a_workspace_runs_and_waits_within_its_limits_and_holds_no_other_up() {
+fn workspace_limits_do_not_block_other_workspaces() {
     let mut scheduler = scheduler(1, 100, 1_000_000);
     let limited = |number| Request { max_running: 2, max_waiting: 2, ..request(number, "w", 1) };
     for number in 0..2 {
@@ -175,7 +175,7 @@
 }
 
 #[gtest]
-fn a_request_that_is_told_twice_is_counted_once() {
+fn duplicate_request_is_counted_once() {
     let mut scheduler = scheduler(1, 1, 100_000);
     for number in [0, 0, 1, 1] {
         let limited = Request { max_waiting: 1, ..request(number, "w", 1) };
@@ -192,7 +192,7 @@
 }
 
 #[gtest]
-fn a_workspaces_limit_holds_over_all_ranks_and_ends_in_all_of_them() {
+fn workspace_limit_spans_ranks() {
     let mut scheduler = scheduler(1, 100, 1_000_000);
     let limited = |number, rank| Request { max_running: 2, ..request(number, "w", rank) };
     for (number, rank) in [(0, 1), (1, 2)] {
@@ -211,7 +211,7 @@
 }
 
 #[gtest]
-fn what_is_expected_yet_follows_the_lengths_seen_and_the_bound() {
+fn expected_remaining_follows_lengths_and_limit() {
     let mut forecast = LengthForecast::default();
     for _ in 0..1_000 {
         forecast.record(&"w".into(), &"chat".into(), 512);
@@ -222,14 +222,14 @@
     let near_end = distribution.expected_remaining(500, 2_000);
     let at_bound = distribution.expected_remaining(500, 500);
 
-    // Lengths are counted in buckets of a quarter octave: 512 may be anything up to 609.
+    // The bucket that contains 512 extends to 609.
     expect_that!(fresh, all!(ge(480.0), le(620.0)));
     expect_that!(near_end, all!(ge(10.0), le(120.0)));
     expect_that!(at_bound, eq(0.0));
 }
 
 #[gtest]
-fn nothing_that_was_known_of_an_endpoint_holds_for_a_run_that_was_started_later() {
+fn restarted_endpoint_starts_with_fresh_state() {
     let mut known = fixture::engines(&["a", "b"], 34_000);
     let mut scheduler = fixture::scheduler(&["a", "b"], 34_000);
     for number in 0..8 {
@@ -248,7 +248,7 @@
     expect_that!(state.running(), eq(0));
     expect_that!(state.kv_used(), eq(0.0));
     expect_that!(state.is_available(fixture::ms(2)), eq(true));
-    // Only the one whose move was on its way is still accounted for, where it goes on.
+    // Only the generation with an active move is still accounted for, at its destination.
     expect_that!(scheduler.running(), eq(1));
     expect_that!(scheduler.plan_relocations(fixture::ms(3)), is_empty());
 }
--- a/crates/core/src/placement/token_latency_tests.rs
+++ b/crates/core/src/placement/token_latency_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how fast endpoints are taken to be, and of what follows for new work.
+//! Measurement of token latency and its effect on placement.
 
 use googletest::prelude::*;
 
@@ -9,20 +9,20 @@
 };
 use crate::units::Instant;
 
-/// The pace of an endpoint after a stream had these many tokens at these times, in ms.
-fn pace_after(progress: &[(u64, u64)]) -> TokenLatency {
-    let (mut pace, mut meter) = (TokenLatency::default(), TokenLatencyMeter::default());
+/// Token latency after a stream reported these `(time in ms, token count)` pairs.
+fn latency_after(progress: &[(u64, u64)]) -> TokenLatency {
+    let (mut latency, mut meter) = (TokenLatency::default(), TokenLatencyMeter::default());
     for (at, tokens) in progress {
-        meter.observe(*tokens, ms(*at), &mut pace);
+        meter.observe(*tokens, ms(*at), &mut latency);
     }
-    pace
+    latency
 }
 
 fn request(number: u64) -> Request {
     fixture::request(number, 1_000, 2_000)
 }
 
-/// Two engines with a stream each; `e0` takes 40 ms for a token and `e1` 10 ms.
+/// Two engines with one stream each: `e0` takes 40 ms per token, `e1` 10 ms.
 fn slow_and_fast() -> Scheduler {
     let mut scheduler = scheduler(&["h", "h"], 34_000);
     scheduler.adopt(request(1), "e0", 1, ms(1_000));
@@ -35,7 +35,7 @@
     scheduler
 }
 
-/// Where a new request is placed.
+/// Enqueues a request and returns the endpoint on which it starts.
 fn placed(scheduler: &mut Scheduler, number: u64, now: Instant) -> String {
     scheduler.enqueue(request(number), now).unwrap();
     match &scheduler.decide(now)[..] {
@@ -45,7 +45,7 @@
 }
 
 #[gtest]
-fn new_work_avoids_an_engine_that_has_become_slow() {
+fn requests_avoid_slow_engines() {
     let mut scheduler = slow_and_fast();
 
     let at: Vec<String> = (10..15).map(|n| placed(&mut scheduler, n, ms(5_100 + n))).collect();
@@ -54,7 +54,7 @@
 }
 
 #[gtest]
-fn an_engine_that_was_avoided_is_tried_again_after_a_while() {
+fn avoided_engine_is_retried_after_expiry() {
     let mut scheduler = slow_and_fast();
     scheduler.finish(request(1).ticket, 101, false, ms(5_100));
 
@@ -66,39 +66,39 @@
 }
 
 #[gtest]
-fn a_pace_is_the_time_for_a_token() {
-    let pace = pace_after(&[(0, 0), (1_000, 100), (2_000, 200)]);
+fn latency_is_time_per_token() {
+    let latency = latency_after(&[(0, 0), (1_000, 100), (2_000, 200)]);
 
-    expect_that!(pace.seconds_per_token(ms(2_000)), some(approx_eq(0.010)));
+    expect_that!(latency.seconds_per_token(ms(2_000)), some(approx_eq(0.010)));
 }
 
 #[gtest]
-fn what_was_told_in_quick_succession_counts_as_one_span() {
-    let pace = pace_after(&[(0, 0), (10, 32), (20, 64), (1_000, 100)]);
+fn frequent_reports_form_one_span() {
+    let latency = latency_after(&[(0, 0), (10, 32), (20, 64), (1_000, 100)]);
 
-    expect_that!(pace.seconds_per_token(ms(1_000)), some(approx_eq(0.010)));
+    expect_that!(latency.seconds_per_token(ms(1_000)), some(approx_eq(0.010)));
 }
 
 #[gtest]
-fn a_suspended_daemon_makes_no_endpoint_slow_for_long() {
-    let suspended = pace_after(&[(0, 0), (1_000, 100), (21_000, 200)]);
-    let after = pace_after(&[(0, 0), (1_000, 100), (21_000, 200), (22_000, 300), (23_000, 400)]);
+fn suspended_daemon_has_limited_effect() {
+    let suspended = latency_after(&[(0, 0), (1_000, 100), (21_000, 200)]);
+    let after = latency_after(&[(0, 0), (1_000, 100), (21_000, 200), (22_000, 300), (23_000, 400)]);
 
-    // The span of 20 s counts for no more than five times the pace.
+    // The span of 20 s is limited to five times the average.
     expect_that!(suspended.seconds_per_token(ms(21_000)), some(le(0.03)));
     expect_that!(after.seconds_per_token(ms(23_000)), some(le(0.02)));
 }
 
 #[gtest]
-fn a_span_longer_than_what_is_remembered_counts_for_nothing() {
-    let suspended = pace_after(&[(0, 0), (1_000, 100), (61_000, 200)]);
+fn spans_beyond_max_age_are_ignored() {
+    let suspended = latency_after(&[(0, 0), (1_000, 100), (61_000, 200)]);
 
     expect_that!(suspended.seconds_per_token(ms(61_000)), none());
 }
 
 #[gtest]
-fn what_is_not_known_is_not_slow() {
-    let known = pace_after(&[(0, 0), (1_000, 100)]);
+fn unknown_latency_is_not_slow() {
+    let known = latency_after(&[(0, 0), (1_000, 100)]);
 
     expect_that!(TokenLatency::default().slowdown(Some(0.01), ms(1_000)), eq(0.0));
     expect_that!(known.slowdown(None, ms(1_000)), eq(0.0));
--- a/crates/core/src/placement/ttft_tests.rs
+++ b/crates/core/src/placement/ttft_tests.rs
@@ -1,4 +1,4 @@
-//! Tests that requests wait rather than go where their first token would come late.
+//! Requests stay queued until an endpoint can meet their TTFT target.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -12,14 +12,14 @@
 };
 use crate::{testing::fixed_seed, units::Instant};
 
-/// Time within which a first token should come.
-const WITHIN: Duration = Duration::from_secs(1);
+/// TTFT target of all requests.
+const TTFT_TARGET: Duration = Duration::from_secs(1);
 
-/// A request whose prompt takes this long to read.
-fn reads_for(number: u64, ms: u64) -> Request {
+/// A request with a prefill time of `ms`.
+fn prefill_request(number: u64, ms: u64) -> Request {
     let prompt_tokens = ms * 7;
-    let max_wait = WITHIN.saturating_sub(prefill_time(prompt_tokens));
-    Request { max_wait, ttft_target: WITHIN, ..request(number, prompt_tokens, 100) }
+    let max_wait = TTFT_TARGET.saturating_sub(prefill_time(prompt_tokens));
+    Request { max_wait, ttft_target: TTFT_TARGET, ..request(number, prompt_tokens, 100) }
 }
 
 fn starts(scheduler: &mut Scheduler, now: Instant) -> Vec<(u64, String)> {
@@ -30,23 +30,23 @@
     scheduler.decide(now).into_iter().filter_map(start).collect()
 }
 
-/// A scheduler of engines that are given prompts of 300 ms at the start.
-fn reading(prompts: &[u64]) -> Scheduler {
+/// A scheduler with this many pending prompts of 300 ms on each engine.
+fn with_pending_prefill(prompts: &[u64]) -> Scheduler {
     let mut scheduler = scheduler(&vec!["h"; prompts.len()], 1_000_000);
     let mut number = 1_000;
     for (engine, count) in prompts.iter().enumerate() {
         for _ in 0..*count {
             number += 1;
-            scheduler.adopt(reads_for(number, 300), &format!("e{engine}"), 0, ms(0));
+            scheduler.adopt(prefill_request(number, 300), &format!("e{engine}"), 0, ms(0));
         }
     }
     scheduler
 }
 
 #[gtest]
-fn a_request_waits_until_its_first_token_would_come_in_time() {
-    let mut scheduler = reading(&[3, 4]);
-    scheduler.enqueue(reads_for(1, 200), ms(0)).unwrap();
+fn request_waits_until_ttft_target_can_be_met() {
+    let mut scheduler = with_pending_prefill(&[3, 4]);
+    scheduler.enqueue(prefill_request(1, 200), ms(0)).unwrap();
 
     let at_once = starts(&mut scheduler, ms(0));
     scheduler.progress(Ticket { entry: 1, number: 1_001 }, 1, ms(150));
@@ -57,15 +57,15 @@
 }
 
 #[gtest]
-fn time_that_a_request_has_waited_is_no_longer_left_for_reading() {
-    let mut scheduler = reading(&[4]);
-    scheduler.enqueue(reads_for(1, 200), ms(0)).unwrap();
+fn queueing_time_counts_against_ttft_target() {
+    let mut scheduler = with_pending_prefill(&[4]);
+    scheduler.enqueue(prefill_request(1, 200), ms(0)).unwrap();
     starts(&mut scheduler, ms(0));
 
     scheduler.progress(Ticket { entry: 1, number: 1_001 }, 1, ms(300));
     scheduler.progress(Ticket { entry: 1, number: 1_002 }, 1, ms(600));
     let of_three = starts(&mut scheduler, ms(610));
-    scheduler.enqueue(Request { rank: 0, ..reads_for(2, 200) }, ms(610)).unwrap();
+    scheduler.enqueue(Request { rank: 0, ..prefill_request(2, 200) }, ms(610)).unwrap();
     let of_new = starts(&mut scheduler, ms(611));
 
     expect_that!(of_three, is_empty());
@@ -73,16 +73,16 @@
 }
 
 #[gtest]
-fn a_request_that_comes_late_wherever_it_goes_does_not_wait() {
-    let mut scheduler = reading(&[2]);
+fn unattainable_ttft_target_does_not_delay_start() {
+    let mut scheduler = with_pending_prefill(&[2]);
     let max_wait = Duration::from_millis(500);
-    scheduler.enqueue(Request { max_wait, ..reads_for(1, 1_500) }, ms(0)).unwrap();
+    scheduler.enqueue(Request { max_wait, ..prefill_request(1, 1_500) }, ms(0)).unwrap();
 
     expect_that!(starts(&mut scheduler, ms(0)), len(eq(1)));
 }
 
 #[gtest]
-fn a_crowd_of_prompts_goes_as_far_as_it_is_read_in_time() {
+fn burst_is_admitted_up_to_slots() {
     let mut scheduler = scheduler(&["h"], 10_000_000);
     for number in 0..100 {
         scheduler.enqueue(request(number, 100, 100), ms(0)).unwrap();
@@ -90,14 +90,14 @@
 
     let sent = starts(&mut scheduler, ms(0)).len();
 
-    // 100 tokens are read in 14 ms, and an endpoint has 48 places.
+    // Prefill of 100 tokens takes 14 ms; an engine has 48 slots.
     expect_that!(sent, eq(48));
     expect_that!(scheduler.waiting(), eq(52));
 }
 
-/// Plays requests to endpoints that read one prompt after the other, and gives back the longest
-/// time to a first token, in milliseconds, and the number of answers.
-fn longest_wait(endpoints: usize, gaps: &[(u64, u64)]) -> (u64, usize) {
+/// Simulates endpoints with sequential prefill. Returns the maximum time to first token in ms and
+/// the number of responses.
+fn max_ttft(endpoints: usize, gaps: &[(u64, u64)]) -> (u64, usize) {
     let mut scheduler = scheduler(&vec!["h"; endpoints], 10_000_000);
     let mut coming: VecDeque<(u64, u64)> = VecDeque::new();
     let mut at = 0;
@@ -105,7 +105,7 @@
         at += gap;
         coming.push_back((at, *size));
     }
-    let mut unread: Vec<VecDeque<(u64, u64)>> = vec![VecDeque::new(); endpoints];
+    let mut pending: Vec<VecDeque<(u64, u64)>> = vec![VecDeque::new(); endpoints];
     let mut arrived = std::collections::HashMap::new();
     let (mut longest, mut answers, mut number) = (0, 0, 0);
     for now in 0..at + 3_000 {
@@ -113,9 +113,9 @@
             let (_, size) = coming.pop_front().unwrap();
             number += 1;
             arrived.insert(number, (now, size));
-            let _ = scheduler.enqueue(reads_for(number, size), ms(now));
+            let _ = scheduler.enqueue(prefill_request(number, size), ms(now));
         }
-        for prompts in &mut unread {
+        for prompts in &mut pending {
             let Some((number, left)) = prompts.front_mut() else { continue };
             *left -= 1;
             if *left == 0 {
@@ -129,7 +129,7 @@
         }
         for (number, endpoint) in starts(&mut scheduler, ms(now)) {
             let at: usize = endpoint[1..].parse().unwrap();
-            unread[at].push_back((number, arrived[&number].1));
+            pending[at].push_back((number, arrived[&number].1));
         }
     }
     (longest, answers)
@@ -138,15 +138,15 @@
 proptest! {
     #![proptest_config(fixed_seed(40))]
 
-    /// However prompts come, and though more come than are read, what is answered begins in time.
+    /// Every response meets its TTFT target, even under overload.
     #[test]
-    fn under_any_load_what_is_answered_begins_in_time(
+    fn responses_meet_ttft_target_under_any_load(
         gaps in proptest::collection::vec((0u64..120, 20u64..400), 20..200),
         endpoints in 1usize..4,
     ) {
-        let (longest, answers) = longest_wait(endpoints, &gaps);
+        let (longest, answers) = max_ttft(endpoints, &gaps);
 
-        prop_assert!(longest <= WITHIN.as_millis() as u64 + 20, "{longest} ms");
+        prop_assert!(longest <= TTFT_TARGET.as_millis() as u64 + 20, "{longest} ms");
         prop_assert!(0 < answers);
     }
 }
