--- a/crates/core/src/node/endpoint_sync.rs
+++ b/crates/core/src/node/endpoint_sync.rs
@@ -1,10 +1,9 @@
-//! Brings the endpoints that a daemon knows up to those of control VMs that it is linked to anew.
+//! Anti-entropy of the endpoint registry between a daemon and the control VMs that it links to.
 //!
-//! A control VM tells a digest of what it knows. The daemon asks for the parts that differ, a few at a
-//! time, from one control VM after the other: what it has from the first it need not ask the next for.
-//! Each daemon begins with a control VM of its own choice. Sent whole by each control VM to each daemon,
-//! 3,000 endpoints for 295 entries that started at once cost two leaders their lead, and no entry had a
-//! configuration that was confirmed for 3.6 s (`node::tests::recovery`).
+//! When a link comes up, the control VM sends a digest of its registry. The daemon fetches the parts
+//! that differ, a few at a time and from one control VM after the other, so that it fetches each part
+//! only once. Each daemon starts with another control VM, which spreads the load when many daemons
+//! restart at the same time.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -19,42 +18,42 @@
     wire::{Body, EndpointsWanted},
 };
 
-/// Parts that are requested ahead: 25 kB at 3,000 endpoints, 20 ms on a link of 10 Mbit/s.
+/// Maximum number of requested parts; 25 kB at 3,000 endpoints.
 const MAX_PARTS_IN_FLIGHT: usize = 4;
-/// Time in which the links to all control VMs come up, before one of them is chosen.
+/// Delay before a control VM is chosen, in which the links to the others come up.
 const LINK_SETTLE_TIME: Duration = Duration::from_millis(20);
-/// Without a part for this long, another control VM is asked: several times what a busy one takes.
+/// Time without a part after which another control VM is tried.
 const PART_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Parts that a control VM is asked for.
+/// A fetch of parts from one control VM.
 #[derive(Debug)]
 struct PartFetch {
     from: VmName,
-    /// Those that have not been asked for.
+    /// Parts that were not requested yet.
     remaining: VecDeque<usize>,
-    /// Those that were asked for and have not come.
+    /// Parts that were requested and not received yet.
     in_flight: BTreeSet<usize>,
     last_received: Instant,
 }
 
-/// What a daemon still has to compare with the control VMs that it is linked to.
+/// Synchronization of a daemon's registry with the control VMs that it has links to.
 #[derive(Debug, Default)]
 pub(super) struct EndpointSync {
-    /// What each knew when the link came up.
+    /// Digest of each control VM when its link came up.
     digests: ByVm<Digest>,
-    /// Those that were not compared with.
+    /// Control VMs whose digest was not compared yet.
     uncompared: BTreeSet<VmName>,
     fetch: Option<PartFetch>,
-    /// Nothing is asked for before this.
+    /// When the next control VM is chosen.
     next_choice: Option<Instant>,
-    /// The parts in which something came.
+    /// Parts that were received.
     updated_parts: BTreeSet<usize>,
-    /// How often each did not send what it was asked for since it was linked.
+    /// Timeouts of each control VM since its link came up.
     timeouts: ByVm<u32>,
 }
 
 impl EndpointSync {
-    /// Takes what a control VM knows.
+    /// Stores the digest of a control VM.
     pub(super) fn on_digest(&mut self, vm: &VmName, digest: Digest, now: Instant) {
         self.digests.insert(vm.clone(), digest);
         self.uncompared.insert(vm.clone());
@@ -63,7 +62,7 @@
         }
     }
 
-    /// A link is down.
+    /// Drops the state of a control VM whose link is down.
     pub(super) fn link_down(&mut self, vm: &VmName, now: Instant) {
         self.digests.remove(vm);
         self.uncompared.remove(vm);
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Notes that a part has come, and asks for the next.
+    /// Records a received part and requests the next.
     pub(super) fn on_part(&mut self, from: &VmName, part: usize, now: Instant, out: &mut Outbox) {
         self.updated_parts.insert(part);
         let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.from == *from) else {
@@ -88,16 +87,16 @@
         }
     }
 
-    /// When [`EndpointSync::tick`] next has something to do.
+    /// Time at which [`EndpointSync::tick`] is next needed.
     pub(super) fn next_tick(&self) -> Option<Instant> {
-        let patience = self.fetch.as_ref().map(|fetch| fetch.last_received.after(PART_TIMEOUT));
-        patience.or(self.next_choice)
+        let timeout = self.fetch.as_ref().map(|fetch| fetch.last_received.after(PART_TIMEOUT));
+        timeout.or(self.next_choice)
     }
 
-    /// Asks the next control VM that knows something else than this daemon.
+    /// Starts a fetch from the next control VM whose digest differs.
     pub(super) fn tick(
         &mut self,
-        own: &VmName,
+        own_vm: &VmName,
         digest: impl FnOnce() -> Digest,
         now: Instant,
         out: &mut Outbox,
@@ -105,22 +104,23 @@
         if self.next_tick().is_none_or(|due| now < due) {
             return;
         }
-        if let Some(silent) = self.fetch.take() {
-            *self.timeouts.entry(silent.from.clone()).or_default() += 1;
-            self.uncompared.insert(silent.from);
+        if let Some(timed_out) = self.fetch.take() {
+            *self.timeouts.entry(timed_out.from.clone()).or_default() += 1;
+            self.uncompared.insert(timed_out.from);
         }
         self.next_choice = None;
         let digest = digest();
-        let mut waiting: Vec<VmName> = std::mem::take(&mut self.uncompared).into_iter().collect();
-        waiting.sort_by_cached_key(|vm| {
+        let mut candidates: Vec<VmName> =
+            std::mem::take(&mut self.uncompared).into_iter().collect();
+        candidates.sort_by_cached_key(|vm| {
             let mut hasher = DefaultHasher::new();
-            (own, vm).hash(&mut hasher);
+            (own_vm, vm).hash(&mut hasher);
             (self.timeouts.get(vm).copied().unwrap_or_default(), hasher.finish())
         });
-        let mut waiting = waiting.into_iter();
-        for vm in waiting.by_ref() {
-            let Some(told) = self.digests.get(&vm) else { continue };
-            let remaining: VecDeque<usize> = told.differs_in(&digest).collect();
+        let mut candidates = candidates.into_iter();
+        for vm in candidates.by_ref() {
+            let Some(theirs) = self.digests.get(&vm) else { continue };
+            let remaining: VecDeque<usize> = theirs.differs_in(&digest).collect();
             if remaining.is_empty() {
                 continue;
             }
@@ -130,11 +130,11 @@
             self.fetch = Some(fetch);
             break;
         }
-        self.uncompared = waiting.collect();
+        self.uncompared = candidates.collect();
     }
 
-    /// The parts in which something came that the leader did not know, once all control VMs were
-    /// compared with.
+    /// Returns the received parts in which the leader's digest differs, once all control VMs are
+    /// compared.
     pub(super) fn take_parts_unknown_to(
         &mut self,
         leader: &VmName,
@@ -147,13 +147,13 @@
             return Vec::new();
         };
         let differing: BTreeSet<usize> = known.differs_in(&digest()).collect();
-        let learned = std::mem::take(&mut self.updated_parts);
-        learned.intersection(&differing).copied().collect()
+        let updated = std::mem::take(&mut self.updated_parts);
+        updated.intersection(&differing).copied().collect()
     }
 }
 
 impl PartFetch {
-    /// Asks for as many parts as may be on their way.
+    /// Requests parts up to the limit in flight.
     fn request_parts(&mut self, out: &mut Outbox) {
         while self.in_flight.len() < MAX_PARTS_IN_FLIGHT
             && let Some(part) = self.remaining.pop_front()
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -8,7 +8,7 @@
 //! - [`control_client`] polls the leader and tracks whether the active configuration is current;
 //!   [`config_store`] holds that configuration and [`fetching`] downloads newer ones;
 //! - [`operations`] sends changes of the replicated state to the leader;
-//! - [`placing`] places this daemon's requests;
+//! - [`placement_client`] places this daemon's requests;
 //! - [`permit_client`] requests permits for endpoints with rate limits;
 //! - [`suspect_tracker`] tracks requests that may crash endpoints;
 //! - [`directory`] lists the control VMs and [`endpoints`] the endpoints that register.
@@ -53,7 +53,7 @@
 mod options;
 mod permit_allocator;
 mod permit_client;
-mod placing;
+mod placement_client;
 mod reads;
 mod suspect_tracker;
 #[cfg(test)]
@@ -76,7 +76,7 @@
     news_batch::NewsBatch,
     operations::Operations,
     permit_client::PermitClient,
-    placing::PlacementClient,
+    placement_client::PlacementClient,
     suspect_tracker::{Context, SuspectTracker},
 };
 use crate::{
--- a/crates/core/src/node/permit_allocator.rs
+++ b/crates/core/src/node/permit_allocator.rs
@@ -1,4 +1,4 @@
-//! What the leader does about endpoints that name limits: gives permits, and tells all daemons of the limits.
+//! Grants permits for endpoints with rate limits on the leader, and broadcasts the limits to all daemons.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -9,45 +9,45 @@
     wire::{Body, LimitNews, LimitWord, PermitQuery, PermitReply},
 };
 
-/// Limits that an answer to a daemon's poll names, for what has not reached it: 120 bytes.
+/// Rate limits in one poll reply, repeated in case a broadcast was lost; 120 bytes.
 const LIMITS_PER_POLL_REPLY: usize = 2;
 
-/// The leader's soft state about limits.
+/// Queued permit requests and rate limits to broadcast; not replicated.
 #[derive(Debug, Default)]
 pub(super) struct PermitAllocator {
     queue: PermitQueue<(VmName, u64)>,
     broadcast: Broadcast,
-    /// Number of the limits that were repeated.
+    /// Index of the first rate limit in the next poll reply.
     next_repeated: usize,
 }
 
 impl PermitAllocator {
-    /// Takes what an endpoint has said.
+    /// Applies a report of an endpoint and broadcasts the change.
     pub(super) fn apply_report(
         &mut self,
-        word: RateLimitReport,
+        report: RateLimitReport,
         throttle: &mut Throttle,
         now: Instant,
     ) {
-        let endpoint = word.endpoint.clone();
-        if throttle.learn(word, now) != LimitChange::None {
+        let endpoint = report.endpoint.clone();
+        if throttle.learn(report, now) != LimitChange::None {
             self.broadcast.add(&endpoint, now);
         }
     }
 
-    /// Takes what a daemon has read.
+    /// Applies the reports that a daemon forwards.
     pub(super) fn on_rate_limits(
         &mut self,
         news: LimitNews,
         throttle: &mut Throttle,
         now: Instant,
     ) {
-        for word in news.words.into_iter().filter_map(|word| word.decode(now)) {
-            self.apply_report(word, throttle, now);
+        for report in news.words.into_iter().filter_map(|report| report.decode(now)) {
+            self.apply_report(report, throttle, now);
         }
     }
 
-    /// Takes a daemon's request for a permit.
+    /// Handles a daemon's request for a permit.
     pub(super) fn on_query(
         &mut self,
         from: &VmName,
@@ -56,15 +56,15 @@
         now: Instant,
         out: &mut Outbox,
     ) {
-        let (req, words) = decode(from, req, now);
-        words.into_iter().for_each(|word| self.apply_report(word, throttle, now));
+        let (req, reports) = decode(from, req, now);
+        reports.into_iter().for_each(|report| self.apply_report(report, throttle, now));
         let asker = req.asker.clone();
         if let Some(permit) = self.queue.ask(req, throttle, now) {
             reply(&asker, permit, out);
         }
     }
 
-    /// A daemon is gone.
+    /// Drops the waiting requests of a lost daemon.
     pub(super) fn remove_daemon(&mut self, vm: &VmName) {
         self.queue.forget(|(asker, _)| asker == vm);
     }
@@ -73,7 +73,7 @@
         self.broadcast.next_tick().into_iter().chain(self.queue.next_decision()).min()
     }
 
-    /// Gives permits that are due, and tells daemons what is news.
+    /// Grants the permits that are due and broadcasts changed limits.
     pub(super) fn tick(
         &mut self,
         daemons: &BTreeSet<VmName>,
@@ -86,10 +86,10 @@
                 reply(&asker, permit, out);
             }
         }
-        self.broadcast(daemons, throttle, now, out);
+        self.broadcast_changes(daemons, throttle, now, out);
     }
 
-    fn broadcast(
+    fn broadcast_changes(
         &mut self,
         daemons: &BTreeSet<VmName>,
         throttle: &Throttle,
@@ -100,15 +100,15 @@
         if due.is_empty() {
             return;
         }
-        let words =
+        let reports =
             due.iter().filter_map(|name| Some(LimitWord::encode(throttle.word(name)?, now)));
-        let news = LimitNews { words: words.collect() };
+        let news = LimitNews { words: reports.collect() };
         for vm in daemons {
             out.send(vm, Body::Limits(news.clone()));
         }
     }
 
-    /// Some of the limits, the next ones at each call.
+    /// The next few rate limits, in rotation.
     pub(super) fn next_limits(&mut self, throttle: &Throttle, now: Instant) -> Vec<LimitWord> {
         let count = throttle.count();
         if count == 0 {
@@ -116,8 +116,8 @@
         }
         let first = self.next_repeated % count;
         self.next_repeated = self.next_repeated.wrapping_add(LIMITS_PER_POLL_REPLY);
-        let words = throttle.words().skip(first).take(LIMITS_PER_POLL_REPLY);
-        words.map(|word| LimitWord::encode(word, now)).collect()
+        let reports = throttle.words().skip(first).take(LIMITS_PER_POLL_REPLY);
+        reports.map(|report| LimitWord::encode(report, now)).collect()
     }
 }
 
--- a/crates/core/src/node/permit_client.rs
+++ b/crates/core/src/node/permit_client.rs
@@ -1,5 +1,5 @@
-//! This daemon's requests for permits at endpoints that name limits: at the leader, or while none answers in a
-//! queue of its own, which knows only this daemon's share.
+//! Requests permits for endpoints with rate limits: from the leader, or while none answers from a local
+//! queue that is limited to this daemon's share of the rate.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -10,68 +10,69 @@
     wire::{Body, LimitNews, LimitWord, PermitQuery, PermitReply},
 };
 
-/// How long the leader's answer may take beyond what the request can wait: many round trips. A request that
-/// has other endpoints loses as much once, if the leader has just been lost.
+/// Time past the request's maximum wait that the leader's reply may take; many round trips.
 const LEADER_TIMEOUT: Duration = Duration::from_millis(50);
-/// After no answer has come, nobody asks again for this long; by then another leader is known, or none.
+/// Retry delay after the leader has not replied, by which its loss has been detected.
 const UNANSWERED_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Limits that a new leader is told of by one daemon at once; what more there are it hears with the questions.
+/// Maximum number of rate limits that one daemon sends to a new leader. Further ones reach it with
+/// permit queries.
 const MAX_LIMITS_SENT: usize = 64;
 
-/// A question to the leader that waits for its answer.
+/// A permit request that the leader has not replied to.
 #[derive(Debug)]
 struct PendingRequest {
     req: PermitRequest<CallId>,
     deadline: Instant,
 }
 
-/// What this daemon waits for.
+/// Permit requests of one daemon.
 #[derive(Debug, Default)]
 pub(crate) struct PermitClient {
     pending: BTreeMap<CallId, PendingRequest>,
+    /// Requests that wait while no leader answers.
     local: PermitQueue<CallId>,
 }
 
-/// What the parts of a daemon beside this one know now.
+/// State of other components that the client uses.
 pub(super) struct Context<'a> {
-    /// The scheduler, while it answers.
+    /// The leader, while it answers.
     pub(super) scheduler: Option<&'a RemoteScheduler>,
     pub(super) throttle: &'a mut Throttle,
     pub(super) now: Instant,
 }
 
 impl PermitClient {
-    /// Takes an endpoint's word that has come to this daemon; tells the leader if it is news.
+    /// Applies a report that this daemon has received from an endpoint; forwards changes to the leader.
     pub(super) fn on_report(
         &mut self,
-        word: RateLimitReport,
+        report: RateLimitReport,
         cx: &mut Context<'_>,
         out: &mut Outbox,
     ) {
-        let endpoint = word.endpoint.clone();
-        if apply_report(word, cx, out) == LimitChange::None {
+        let endpoint = report.endpoint.clone();
+        if apply_report(report, cx, out) == LimitChange::None {
             return;
         }
-        if let (Some(scheduler), Some(word)) = (cx.scheduler, cx.throttle.word(&endpoint)) {
-            let words = vec![LimitWord::encode(word, cx.now)];
-            out.send(&scheduler.vm, Body::LimitsRead(LimitNews { words }));
+        if let (Some(scheduler), Some(report)) = (cx.scheduler, cx.throttle.word(&endpoint)) {
+            let reports = vec![LimitWord::encode(report, cx.now)];
+            out.send(&scheduler.vm, Body::LimitsRead(LimitNews { words: reports }));
         }
     }
 
-    /// Takes the leader's word of what endpoints have said.
+    /// Applies rate limits that the leader has sent.
     pub(super) fn on_rate_limits(
         &mut self,
-        words: Vec<LimitWord>,
+        reports: Vec<LimitWord>,
         cx: &mut Context<'_>,
         out: &mut Outbox,
     ) {
         let now = cx.now;
-        for word in words.into_iter().filter_map(|word| word.decode(now)) {
-            apply_report(word, cx, out);
+        for report in reports.into_iter().filter_map(|report| report.decode(now)) {
+            apply_report(report, cx, out);
         }
     }
 
-    /// Asks for a permit.
+    /// Requests a permit from the leader, or locally while none answers.
     pub(super) fn request(
         &mut self,
         req: PermitRequest<CallId>,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Takes the leader's answer. A permit for a request that no longer waits is lost.
+    /// Handles the leader's reply. A permit for a request that no longer waits is dropped.
     pub(super) fn on_reply(&mut self, reply: PermitReply, cx: &mut Context<'_>, out: &mut Outbox) {
         let call = CallId(reply.number);
         if self.pending.remove(&call).is_none() {
@@ -104,7 +105,7 @@
         }
         let permit = match reply.endpoint {
             Some(endpoint) => {
-                // Its own share begins after this, should it have to choose by itself.
+                // Counts against this daemon's share if it has to grant permits locally next.
                 cx.throttle.sent(&endpoint, cx.now);
                 Permit::Granted(endpoint.into())
             }
@@ -113,13 +114,14 @@
         out.reply(call, NodeReply::Permit(permit));
     }
 
-    /// Tells a new leader what endpoints have said and what waits; without one what waits goes on here.
+    /// Sends a new leader the known rate limits and the requests that wait.
     pub(super) fn on_scheduler_change(&mut self, cx: &mut Context<'_>, out: &mut Outbox) {
         let Some(scheduler) = cx.scheduler else { return };
-        let words = cx.throttle.words().take(MAX_LIMITS_SENT);
-        let words: Vec<LimitWord> = words.map(|word| LimitWord::encode(word, cx.now)).collect();
-        if !words.is_empty() {
-            out.send(&scheduler.vm, Body::LimitsRead(LimitNews { words }));
+        let reports = cx.throttle.words().take(MAX_LIMITS_SENT);
+        let reports: Vec<LimitWord> =
+            reports.map(|report| LimitWord::encode(report, cx.now)).collect();
+        if !reports.is_empty() {
+            out.send(&scheduler.vm, Body::LimitsRead(LimitNews { words: reports }));
         }
         for PendingRequest { req, .. } in self.pending.values() {
             out.send(&scheduler.vm, encode(req, cx));
@@ -156,10 +158,10 @@
     }
 }
 
-/// Takes an endpoint's word into the daemon's own table.
-fn apply_report(word: RateLimitReport, cx: &mut Context<'_>, out: &mut Outbox) -> LimitChange {
-    let endpoint = word.endpoint.clone();
-    let change = cx.throttle.learn(word, cx.now);
+/// Applies a report to the daemon's table and publishes the change.
+fn apply_report(report: RateLimitReport, cx: &mut Context<'_>, out: &mut Outbox) -> LimitChange {
+    let endpoint = report.endpoint.clone();
+    let change = cx.throttle.learn(report, cx.now);
     if change != LimitChange::None {
         let (limit, limited) = (cx.throttle.limit(&endpoint), cx.throttle.count());
         out.push(Output::Limit { endpoint, limit, change, limited });
@@ -168,25 +170,25 @@
 }
 
 fn encode(req: &PermitRequest<CallId>, cx: &Context<'_>) -> Body {
-    let endpoints = req.endpoints.iter().filter_map(|name| cx.throttle.word(name));
+    let reports = req.endpoints.iter().filter_map(|name| cx.throttle.word(name));
     Body::PermitQuery(PermitQuery {
         number: req.asker.0,
         service: req.service.to_string(),
-        endpoints: endpoints.map(|word| LimitWord::encode(word, cx.now)).collect(),
+        endpoints: reports.map(|report| LimitWord::encode(report, cx.now)).collect(),
         max_wait_ms: req.max_wait.as_millis() as u64,
     })
 }
 
-/// The same as the leader takes it, and what the endpoints have said.
+/// Decodes a query of a daemon into its request and the reports that it carries.
 pub(super) fn decode(
     from: &VmName,
     req: PermitQuery,
     now: Instant,
 ) -> (PermitRequest<(VmName, u64)>, Vec<RateLimitReport>) {
     let max_wait = req.max_wait();
-    let words: Vec<RateLimitReport> =
-        req.endpoints.into_iter().filter_map(|word| word.decode(now)).collect();
-    let endpoints: Vec<Arc<str>> = words.iter().map(|word| word.endpoint.clone()).collect();
+    let reports: Vec<RateLimitReport> =
+        req.endpoints.into_iter().filter_map(|report| report.decode(now)).collect();
+    let endpoints: Vec<Arc<str>> = reports.iter().map(|report| report.endpoint.clone()).collect();
     let asker = (from.clone(), req.number);
-    (PermitRequest { asker, service: req.service.into(), endpoints, max_wait }, words)
+    (PermitRequest { asker, service: req.service.into(), endpoints, max_wait }, reports)
 }
--- a/crates/core/src/node/suspect_tracker.rs
+++ b/crates/core/src/node/suspect_tracker.rs
@@ -1,8 +1,9 @@
-//! What a daemon knows of requests under which endpoints have ended, and its own tries of them.
+//! Tracks requests that are suspected of crashing endpoints, and this daemon's trials of them.
 //!
-//! A daemon tells the leader of each end that it sees, until that is on record. What it has told counts
-//! here at once, so that its next try of the request is not sent before the answer. A try of a suspect
-//! asks the leader whether it may run; so do all that wait when the leader changes.
+//! The daemon reports each crash that it observes to the leader until the crash is recorded. A reported
+//! crash counts locally at once, so that the request is not retried before the leader has replied. An
+//! attempt of a suspect runs only as a trial that the leader grants; pending trials are requested again
+//! when the leader changes.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,81 +25,77 @@
     },
 };
 
-/// How long an end is told to leaders until one has put it on record.
+/// Time for which an unrecorded crash is reported to leaders.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(120);
-/// How long it is waited for the registry's word that an endpoint has ended which does not answer, or
-/// takes connections again: its heartbeats count as stopped after four are missing, and the word of that
-/// takes as long as one more.
+/// Heartbeat intervals after which an endpoint that still counts as running is taken not to have
+/// crashed. Its heartbeats count as stopped after four are missing, and that news takes up to one more.
 const AMBIGUOUS_TIMEOUT_HEARTBEATS: u32 = 6;
-/// Attempts that are waited for so; of more the oldest are forgotten. A busy daemon has a hundred, if all
-/// its callers leave early.
+/// Maximum number of unresolved failures; the oldest is dropped beyond that.
 const MAX_AMBIGUOUS: usize = 1_024;
 
-/// Whether a try of a suspect may run.
+/// Whether an attempt of a suspect may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrialAnswer {
-    /// It may, as the only try, and apart from other requests if so. Its end is told with
-    /// [`super::Input::TrialEnded`].
+    /// It may run as a trial, whose end must be reported with [`super::Input::TrialEnded`].
     Granted {
         /// Whether it must run without other requests on the endpoint.
         isolated: bool,
     },
-    /// It is no suspect any more.
+    /// The request is not a suspect any more.
     Clear,
-    /// It is sent to no endpoint.
+    /// The request is in quarantine and must not be sent to any endpoint.
     Quarantined,
-    /// Others wait for the same, or no leader answers.
+    /// Other trials of the request are queued, or no leader answers.
     Unavailable,
 }
 
-/// A try that waits for the leader's answer.
+/// A trial that the leader has not decided on.
 #[derive(Debug)]
 struct PendingTrial {
     request: RequestDigest,
     deadline: Instant,
 }
 
-/// A trial that runs.
+/// A trial that runs on an endpoint.
 #[derive(Debug)]
 struct RunningTrial {
     request: RequestDigest,
-    /// Whether it has started well, and others need not wait for it.
+    /// Whether it has started to answer, so that other trials of the request need not wait.
     started: bool,
 }
 
-/// An end that is not on record yet, as far as is known here.
+/// A crash that this daemon has reported and that its copy of the crash records lacks.
 #[derive(Debug)]
 struct ReportedCrash {
     request: RequestDigest,
     in_trial: bool,
-    /// Number of the change that put it on record, once that was told.
-    recorded: Option<u64>,
-    /// When nobody tells leaders of it any more.
-    until: Instant,
+    /// Revision of the crash records that includes it, once the leader has replied.
+    recorded_at: Option<u64>,
+    expires_at: Instant,
 }
 
-/// An attempt that broke off at an endpoint that may have ended.
+/// A failed attempt at an endpoint that may or may not have crashed.
 #[derive(Debug)]
 struct AmbiguousFailure {
     attempt: FailedAttempt,
-    until: Instant,
+    /// Taken for no crash after this.
+    deadline: Instant,
 }
 
-/// What a daemon knows of suspects.
+/// Crash records and trials of one daemon.
 #[derive(Debug, Default)]
 pub(crate) struct SuspectTracker {
     known: Known,
-    /// By the number of the operation.
+    /// By the number of the operation that reports the crash.
     reported: BTreeMap<u64, ReportedCrash>,
     ambiguous: Vec<AmbiguousFailure>,
     pending: BTreeMap<CallId, PendingTrial>,
-    /// Trials that run here.
     running: BTreeMap<CallId, RunningTrial>,
-    /// Trials that have ended, by the operation after which the leader is told.
+    /// Ended trials, by the operation that must be stored before the leader is told of the end.
     finishing: BTreeMap<u64, CallId>,
 }
 
-/// What the parts of a daemon beside this one know now.
+/// State of other components that the tracker uses.
 pub(super) struct Context<'a> {
     pub(super) leader: Option<&'a VmName>,
     pub(super) operations: &'a mut Operations,
@@ -108,45 +105,45 @@
 }
 
 impl SuspectTracker {
-    /// The daemon's copy of what is on record.
+    /// The daemon's copy of the replicated crash records.
     pub(crate) fn known(&self) -> &Known {
         &self.known
     }
 
-    /// Whether there are none at all.
+    /// Whether there are no suspects.
     pub(crate) fn is_empty(&self) -> bool {
         self.known.is_empty() && self.reported.is_empty()
     }
 
-    /// How a request stands.
+    /// Crashes counted against a request.
     pub(crate) fn standing(&self, request: &RequestDigest) -> Standing {
-        let own = self.reported.values().filter(|end| end.request == *request);
-        // Some of these may be on record already, and are not counted twice.
+        let own = self.reported.values().filter(|crash| crash.request == *request);
+        // Reported crashes may be in the records already, so the counts are not added.
         let own = own.fold(Standing::default(), |own, end| own.with_end(end.in_trial));
         self.known.standing(request).max(own)
     }
 
-    /// Takes what has changed about suspects.
+    /// Applies changes of the replicated crash records.
     pub(crate) fn on_news(&mut self, news: &SuspectNews, out: &mut Outbox) {
         if !self.known.take(news) {
             return;
         }
         let number = self.known.state().known;
-        self.reported.retain(|_, end| end.recorded.is_none_or(|recorded| number < recorded));
+        self.reported.retain(|_, crash| crash.recorded_at.is_none_or(|recorded| number < recorded));
         self.publish_counts(out);
     }
 
-    /// Tells how many there are. An end that this daemon saw may be on record already, before the answer to its
-    /// own word has come, or under several ends of its own: a request counts once.
+    /// Publishes the number of suspects. Each request counts once, even if its crash is both reported
+    /// here and recorded.
     fn publish_counts(&self, out: &mut Outbox) {
         let (known, quarantined) = self.known.counts();
         let own: BTreeSet<&RequestDigest> =
-            self.reported.values().map(|end| &end.request).collect();
+            self.reported.values().map(|crash| &crash.request).collect();
         let own = own.into_iter().filter(|request| !self.known.standing(request).is_suspect());
         out.push(Output::Suspects { suspects: known + own.count(), quarantined });
     }
 
-    /// An attempt here broke off.
+    /// Reports a crash if the failed attempt shows one, or waits for the registry to tell.
     pub(super) fn on_failed_attempt(
         &mut self,
         attempt: FailedAttempt,
@@ -154,24 +151,24 @@
         out: &mut Outbox,
     ) {
         match (attempt.run_state(cx.registry), attempt.probe) {
-            // What runs at an endpoint that leaves may end with it, as its callers were told.
+            // A leaving endpoint may exit while requests still run on it.
             (Some(RunState::Left), _) => {}
             (_, ProbeOutcome::ConnectionRefused) | (Some(RunState::Ended), _) => {
                 self.report_crash(&attempt, cx, out);
             }
-            // Nobody will tell what became of it.
+            // The endpoint sends no heartbeats, so the registry cannot tell.
             (None, _) => {}
             (Some(RunState::Runs), _) => {
-                let until = cx.now.after(cx.registry.heartbeat() * AMBIGUOUS_TIMEOUT_HEARTBEATS);
+                let deadline = cx.now.after(cx.registry.heartbeat() * AMBIGUOUS_TIMEOUT_HEARTBEATS);
                 if MAX_AMBIGUOUS <= self.ambiguous.len() {
                     self.ambiguous.remove(0);
                 }
-                self.ambiguous.push(AmbiguousFailure { attempt, until });
+                self.ambiguous.push(AmbiguousFailure { attempt, deadline });
             }
         }
     }
 
-    /// Puts on record that an endpoint has ended under a request.
+    /// Reports a crash of an endpoint that ran a request to the leader.
     fn report_crash(&mut self, attempt: &FailedAttempt, cx: &mut Context<'_>, out: &mut Outbox) {
         let FailedAttempt { request, endpoint, started_at, trial, .. } = attempt;
         let in_trial = trial.is_some();
@@ -181,16 +178,16 @@
         let ended = EndedUnder { run, request: bytes_of(request), in_trial };
         let kind = OperationKind::Ended(ended);
         let number = cx.operations.start_detached(kind, REPORT_TIMEOUT, cx.leader, cx.now, out);
-        let until = cx.now.after(REPORT_TIMEOUT);
-        let end = ReportedCrash { request: *request, in_trial, recorded: None, until };
-        self.reported.insert(number, end);
+        let expires_at = cx.now.after(REPORT_TIMEOUT);
+        let crash = ReportedCrash { request: *request, in_trial, recorded_at: None, expires_at };
+        self.reported.insert(number, crash);
         if let Some(call) = trial {
             self.finishing.insert(number, *call);
         }
         self.publish_counts(out);
     }
 
-    /// What this daemon has told is on record.
+    /// Handles the leader's reply that a reported crash is recorded.
     pub(super) fn on_crash_recorded(
         &mut self,
         operation: u64,
@@ -198,11 +195,11 @@
         cx: &Context<'_>,
         out: &mut Outbox,
     ) {
-        if let Some(end) = self.reported.get_mut(&operation) {
-            end.recorded = Some(reply.number);
+        if let Some(crash) = self.reported.get_mut(&operation) {
+            crash.recorded_at = Some(reply.number);
         }
         let known = self.known.state().known;
-        self.reported.retain(|_, end| end.recorded.is_none_or(|recorded| known < recorded));
+        self.reported.retain(|_, crash| crash.recorded_at.is_none_or(|recorded| known < recorded));
         if let Some(call) = self.finishing.remove(&operation)
             && !self.finishing.values().any(|other| *other == call)
             && !self.running.contains_key(&call)
@@ -211,12 +208,12 @@
         }
     }
 
-    /// Asks whether a try may run.
+    /// Requests a trial for an attempt of a suspect.
     pub(super) fn request_trial(
         &mut self,
         call: CallId,
         request: RequestDigest,
-        limit: Duration,
+        timeout: Duration,
         cx: &Context<'_>,
         out: &mut Outbox,
     ) {
@@ -227,15 +224,15 @@
         if !standing.is_suspect() {
             return out.reply(call, NodeReply::Trial(TrialAnswer::Clear));
         }
-        self.pending.insert(call, PendingTrial { request, deadline: cx.now.after(limit) });
+        self.pending.insert(call, PendingTrial { request, deadline: cx.now.after(timeout) });
         self.send_trial_request(call, request, false, cx.leader, out);
     }
 
-    /// Takes the leader's answer.
+    /// Handles the leader's decision on a trial.
     pub(super) fn on_trial_reply(&mut self, reply: TrialReply, cx: &Context<'_>, out: &mut Outbox) {
         let call = CallId(reply.number);
         let Some(pending) = self.pending.remove(&call) else {
-            // Its caller has left.
+            // The caller has given up waiting.
             if reply.status() == TrialStatus::Granted && !self.running.contains_key(&call) {
                 send_trial_over(call, cx.leader, out);
             }
@@ -258,32 +255,32 @@
         out.reply(call, NodeReply::Trial(answer));
     }
 
-    /// A try has ended, or its caller waits no longer for the leader's answer. One that has brought its
-    /// whole answer clears the request.
+    /// Ends a trial, or withdraws one that the leader has not decided on. A complete answer clears the
+    /// request.
     pub(super) fn on_trial_over(
         &mut self,
         call: CallId,
-        whole: bool,
+        complete: bool,
         cx: &mut Context<'_>,
         out: &mut Outbox,
     ) {
-        let asked = self.pending.remove(&call).is_some();
+        let was_pending = self.pending.remove(&call).is_some();
         let Some(RunningTrial { request, .. }) = self.running.remove(&call) else {
-            if asked {
+            if was_pending {
                 send_trial_over(call, cx.leader, out);
             }
             return;
         };
-        if whole {
+        if complete {
             let kind = OperationKind::Clear(ClearRequest { request: bytes_of(&request) });
             let number = cx.operations.start_detached(kind, REPORT_TIMEOUT, cx.leader, cx.now, out);
             self.finishing.insert(number, call);
-        } else if !self.finishing.values().any(|ending| *ending == call) {
+        } else if !self.finishing.values().any(|other| *other == call) {
             send_trial_over(call, cx.leader, out);
         }
     }
 
-    /// A request has brought its whole answer, in a try that was no trial: if it was a suspect, it is none.
+    /// Clears a suspect whose answer was complete in an attempt that was not a trial.
     pub(super) fn on_complete_answer(
         &mut self,
         request: &RequestDigest,
@@ -296,7 +293,7 @@
         }
     }
 
-    /// The try has started well: others of the same request need not wait for its end.
+    /// Lets other trials of the request proceed, since this one has started to answer.
     pub(super) fn on_trial_started(&mut self, call: CallId, cx: &Context<'_>, out: &mut Outbox) {
         if let Some(running) = self.running.get_mut(&call) {
             running.started = true;
@@ -304,7 +301,7 @@
         }
     }
 
-    /// Tells a new leader what waits and what runs.
+    /// Sends a new leader the pending and running trials.
     pub(super) fn on_leader_change(&mut self, leader: Option<&VmName>, out: &mut Outbox) {
         for (call, running) in self.running.iter().filter(|(_, running)| !running.started) {
             self.send_trial_request(*call, running.request, true, leader, out);
@@ -316,35 +313,35 @@
 
     pub(super) fn next_tick(&self) -> Option<Instant> {
         let pending = self.pending.values().map(|pending| pending.deadline);
-        let ambiguous = self.ambiguous.iter().map(|ambiguous| ambiguous.until);
-        let own = self.reported.values().map(|end| end.until);
+        let ambiguous = self.ambiguous.iter().map(|failure| failure.deadline);
+        let own = self.reported.values().map(|crash| crash.expires_at);
         pending.chain(ambiguous).chain(own).min()
     }
 
     pub(super) fn tick(&mut self, cx: &mut Context<'_>, out: &mut Outbox) {
         self.resolve_ambiguous(cx, out);
-        let (now, own) = (cx.now, self.reported.len());
-        self.reported.retain(|_, end| now < end.until);
-        if self.reported.len() < own {
+        let (now, before) = (cx.now, self.reported.len());
+        self.reported.retain(|_, crash| now < crash.expires_at);
+        if self.reported.len() < before {
             self.publish_counts(out);
         }
-        // Without a leader for so long, none has any trial of this daemon in mind.
+        // After so long without a leader, no leader has state of this daemon's trials.
         self.finishing.retain(|number, _| cx.operations.is_pending(*number));
-        let over = self.pending.iter().filter(|(_, pending)| pending.deadline <= now);
-        for call in over.map(|(call, _)| *call).collect::<Vec<_>>() {
+        let overdue = self.pending.iter().filter(|(_, pending)| pending.deadline <= now);
+        for call in overdue.map(|(call, _)| *call).collect::<Vec<_>>() {
             self.pending.remove(&call);
             send_trial_over(call, cx.leader, out);
             out.reply(call, NodeReply::Trial(TrialAnswer::Unavailable));
         }
     }
 
-    /// Looks whether the endpoints that did not say so have ended.
+    /// Checks whether the registry now shows endpoints of ambiguous failures as crashed.
     fn resolve_ambiguous(&mut self, cx: &mut Context<'_>, out: &mut Outbox) {
         let ambiguous = std::mem::take(&mut self.ambiguous);
-        for waiting in ambiguous {
-            match waiting.attempt.run_state(cx.registry) {
-                Some(RunState::Ended) => self.report_crash(&waiting.attempt, cx, out),
-                Some(RunState::Runs) if cx.now < waiting.until => self.ambiguous.push(waiting),
+        for failure in ambiguous {
+            match failure.attempt.run_state(cx.registry) {
+                Some(RunState::Ended) => self.report_crash(&failure.attempt, cx, out),
+                Some(RunState::Runs) if cx.now < failure.deadline => self.ambiguous.push(failure),
                 Some(RunState::Runs | RunState::Left) | None => {}
             }
         }
@@ -354,14 +351,17 @@
         &self,
         call: CallId,
         request: RequestDigest,
-        runs: bool,
+        is_running: bool,
         leader: Option<&VmName>,
         out: &mut Outbox,
     ) {
         let Some(leader) = leader else { return };
         let Standing { ended, .. } = self.standing(&request);
         let request = bytes_of(&request);
-        out.send(leader, Body::TrialAsk(TrialAsk { number: call.0, request, ended, runs }));
+        out.send(
+            leader,
+            Body::TrialAsk(TrialAsk { number: call.0, request, ended, runs: is_running }),
+        );
     }
 }
 
@@ -369,8 +369,8 @@
     Bytes::copy_from_slice(request.as_bytes())
 }
 
-/// Tells the leader that a try waits or runs no more. One that does not hear it hears that the link to
-/// this daemon is down, or is told anew what runs.
+/// Tells the leader that a trial neither waits nor runs any more. If the message is lost, the leader
+/// learns it from the loss of the link, or a new leader from the trials that this daemon resends.
 fn send_trial_over(call: CallId, leader: Option<&VmName>, out: &mut Outbox) {
     if let Some(leader) = leader {
         out.send(leader, Body::TrialOver(TrialOver { number: call.0 }));
