--- a/crates/server/src/relay/tests/backoff.rs
+++ b/crates/server/src/relay/tests/backoff.rs
@@ -1,19 +1,7 @@
-//! Endpoints that ask a daemon to back off, or say that they leave.
+//! Endpoints that ask a daemon to back off, or announce that they are leaving.
 //!
-//! What users saw: three of nine engines rejected what they got and asked each daemon for three seconds without
-//! requests. In that time they got up to eight from one daemon, more than the engines that had room, and half of
-//! the chats were refused although six engines answered.
-//!
-//! Order of events: an engine rejects a request with `Retry-After`; the next requests of the same daemon
-//! go there again, since it looks empty; a request that two engines have rejected goes back to the first,
-//! and is refused after its third rejection.
-//!
-//! Cause: the header was passed on to nobody who chooses an endpoint, neither on the daemon nor at the leader's
-//! scheduler. What an endpoint says of itself in an answer was decoded header by header, each on one way only.
-//!
-//! Evidence: of 44 rejections by engines 8 were followed within 20 ms by a request of the same daemon at the same
-//! engine, and 30 within 200 ms by one of any daemon; the rejecting engines got 28 requests in 3.8 s, the six
-//! others 19. Here one entry brings the same about, with calls and with generations.
+//! Guards against requests being sent to an endpoint that has asked for back-off, and against
+//! refusals while other endpoints have capacity.
 
 use googletest::prelude::*;
 use tokio::join;
@@ -24,14 +12,14 @@
     test_daemon::{TestDaemon, run_test},
 };
 
-/// Back-off in seconds that no test outlasts.
+/// Back-off in seconds, longer than any test.
 const LONG: &str = "100";
-/// Requests that are sent, one after the other.
+/// Requests sent in sequence.
 const REQUESTS: u32 = 40;
 
-/// Sends requests one after the other. What comes to the endpoint called `backing_off` is answered by `answer`, which
-/// returns whether the caller is answered by it; all else is answered well. Returns how many requests the wary
-/// endpoint has got.
+/// Sends requests in sequence. Attempts at `backing_off` are passed to `answer`, which returns
+/// whether its response goes to the caller; all others succeed. Returns the number of attempts at
+/// `backing_off`.
 async fn send_all(
     daemon: &TestDaemon,
     path: &str,
@@ -44,7 +32,7 @@
         let (answered, ()) = join!(daemon.send(path, "r1"), async {
             loop {
                 let arrival = next_arrival_at(backing_off, other).await;
-                if arrival.meant_for != "wary" {
+                if arrival.endpoint_id != "wary" {
                     return arrival.answer(200, "id: 1\ndata: token 1\n\n");
                 }
                 sent_to_backing_off += 1;
@@ -69,7 +57,7 @@
 }
 
 #[gtest]
-fn calls_keep_away_from_an_endpoint_that_asks_for_back_off() {
+fn calls_avoid_endpoint_in_backoff() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut backing_off = daemon.register("desk", "wary").await;
@@ -84,7 +72,7 @@
 }
 
 #[gtest]
-fn generations_keep_away_from_an_engine_that_asks_for_back_off() {
+fn generations_avoid_engine_in_backoff() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut backing_off = daemon.register("engines", "wary").await;
@@ -99,7 +87,7 @@
 }
 
 #[gtest]
-fn an_endpoint_that_says_it_leaves_gets_nothing_new() {
+fn leaving_endpoint_gets_no_new_requests() {
     run_test(async {
         for (service, path) in [("desk", "/once/x"), ("engines", "/chat/x")] {
             let daemon = TestDaemon::open().await;
@@ -114,16 +102,21 @@
     });
 }
 
-/// Makes one call that an endpoint rejects with so much back-off and the other, if there is one, does not get.
-async fn rejected(daemon: &TestDaemon, path: &str, endpoint: &mut FakeEndpoint, retry_after: &str) {
+/// Sends one request that the endpoint rejects with `retry_after`.
+async fn send_rejected(
+    daemon: &TestDaemon,
+    path: &str,
+    endpoint: &mut FakeEndpoint,
+    retry_after: &str,
+) {
     let (answer, ()) = join!(daemon.send(path, "r1"), async {
-        endpoint.arrival().await.reject(retry_after);
+        endpoint.next_arrival().await.reject(retry_after);
     });
     assert_that!(answer.head.status.as_u16(), eq(503));
 }
 
 #[gtest]
-fn a_generation_goes_to_no_engine_twice_that_has_rejected_it() {
+fn generation_is_not_resent_to_rejecting_engine() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut engines = [
@@ -137,19 +130,19 @@
             let mut rejected = Vec::new();
             while rejected.len() < 2 {
                 let arrival = tokio::select! {
-                    arrival = e1.arrival() => arrival,
-                    arrival = e2.arrival() => arrival,
-                    arrival = e3.arrival() => arrival,
+                    arrival = e1.next_arrival() => arrival,
+                    arrival = e2.next_arrival() => arrival,
+                    arrival = e3.next_arrival() => arrival,
                 };
-                rejected.push(arrival.meant_for.clone());
+                rejected.push(arrival.endpoint_id.clone());
                 arrival.reject_unexecuted("full");
             }
             let arrival = tokio::select! {
-                arrival = e1.arrival() => arrival,
-                arrival = e2.arrival() => arrival,
-                arrival = e3.arrival() => arrival,
+                arrival = e1.next_arrival() => arrival,
+                arrival = e2.next_arrival() => arrival,
+                arrival = e3.next_arrival() => arrival,
             };
-            rejected.push(arrival.meant_for.clone());
+            rejected.push(arrival.endpoint_id.clone());
             arrival.answer(200, "id: 1\ndata: token 1\n\n");
             rejected
         });
@@ -160,12 +153,12 @@
 }
 
 #[gtest]
-fn where_every_endpoint_has_asked_for_back_off_the_next_request_is_refused_at_once() {
+fn refused_at_once_if_all_endpoints_back_off() {
     run_test(async {
         for (service, path) in [("desk", "/soon/x"), ("engines", "/brief/x")] {
             let daemon = TestDaemon::open().await;
             let mut endpoint = daemon.register(service, "e1").await;
-            rejected(&daemon, path, &mut endpoint, LONG).await;
+            send_rejected(&daemon, path, &mut endpoint, LONG).await;
 
             let refused = daemon.send(path, "r2").await;
 
@@ -177,15 +170,15 @@
 }
 
 #[gtest]
-fn a_request_whose_answer_still_comes_in_time_waits_for_the_end_of_a_back_off() {
+fn request_waits_for_end_of_short_backoff() {
     run_test(async {
         for (service, path) in [("desk", "/once/x"), ("engines", "/chat/x")] {
             let daemon = TestDaemon::open().await;
             let mut backing_off = daemon.register(service, "e1").await;
             let first = async {
-                backing_off.arrival().await.reject("0.2");
-                // A generation waits for a place itself, a call is made again.
-                backing_off.arrival().await.answer(200, "id: 1\ndata: token 1\n\n");
+                backing_off.next_arrival().await.reject("0.2");
+                // The generation waits for a placement itself; the call is sent again by the test.
+                backing_off.next_arrival().await.answer(200, "id: 1\ndata: token 1\n\n");
             };
             let asks = async {
                 let first = daemon.send(path, "r1").await;
@@ -200,19 +193,19 @@
 }
 
 #[gtest]
-fn after_a_back_off_one_call_is_sent_until_it_is_answered() {
+fn single_probe_call_after_backoff() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut endpoint = daemon.register("desk", "e1").await;
-        rejected(&daemon, "/once/x", &mut endpoint, "0.05").await;
+        send_rejected(&daemon, "/once/x", &mut endpoint, "0.05").await;
 
         let asks = async { join!(daemon.send("/once/x", "r2"), daemon.send("/once/x", "r3")) };
         let ((second, third), early) = join!(asks, async {
-            let first = endpoint.arrival().await;
+            let first = endpoint.next_arrival().await;
             daemon.wait_for_in_progress(2).await;
             let early = !endpoint.is_idle();
             first.answer(200, "done");
-            endpoint.arrival().await.answer(200, "done");
+            endpoint.next_arrival().await.answer(200, "done");
             early
         });
 
@@ -223,15 +216,15 @@
 }
 
 #[gtest]
-fn a_new_run_of_an_endpoint_gets_requests_whatever_the_former_one_has_asked_for() {
+fn restarted_endpoint_is_not_in_backoff() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut former = daemon.register("desk", "e1").await;
-        rejected(&daemon, "/once/x", &mut former, LONG).await;
+        send_rejected(&daemon, "/once/x", &mut former, LONG).await;
         let mut endpoint = daemon.restart_endpoint("desk", "e1").await;
 
         let (answer, ()) = join!(daemon.send("/once/x", "r2"), async {
-            endpoint.arrival().await.answer(200, "done");
+            endpoint.next_arrival().await.answer(200, "done");
         });
 
         expect_that!(text(answer).await, ok(eq("done")));
@@ -239,9 +232,9 @@
 }
 
 #[gtest]
-fn a_request_is_not_sent_to_an_endpoint_that_has_asked_for_back_off_since_it_was_chosen() {
+fn attempt_is_withheld_if_backoff_begins_after_selection() {
     run_test(async {
-        // Without a scheduler both engines are asked for their loads once they are chosen.
+        // Without a scheduler, both engines are asked for their load after they are selected.
         let daemon = TestDaemon::without_scheduler().await;
         let mut backing_off = daemon.register("engines", "wary").await;
         let mut other = daemon.register("engines", "other").await;
@@ -249,7 +242,7 @@
         other.set_capacity(1_000, true);
 
         let (answer, ()) = join!(daemon.send("/chat/x", "r1"), async {
-            other.arrival().await.answer(200, "id: 1\ndata: token 1\n\n");
+            other.next_arrival().await.answer(200, "id: 1\ndata: token 1\n\n");
         });
 
         expect_that!(text(answer).await, ok(contains_substring("token 1")));
@@ -260,39 +253,39 @@
 }
 
 #[gtest]
-fn a_generation_is_not_moved_to_an_engine_that_has_asked_for_back_off() {
+fn no_relocation_to_engine_in_backoff() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut to = daemon.register("engines", "to").await;
-        rejected(&daemon, "/brief/x", &mut to, LONG).await;
+        send_rejected(&daemon, "/brief/x", &mut to, LONG).await;
         let mut from = daemon.register("engines", "from").await;
         let (answer, stream) = join!(daemon.send("/chat/x", "r2"), async {
-            let stream = from.arrival().await.stream();
-            stream.events(1..=3).await;
+            let stream = from.next_arrival().await.stream();
+            stream.send_events(1..=3).await;
             stream
         });
         let mut reader = ResponseReader::new(answer);
         reader.read_to(3).await;
 
         daemon.announce_leaving("from").await;
-        stream.events(4..=40).await;
+        stream.send_events(4..=40).await;
         reader.read_to(40).await;
-        stream.end();
+        stream.finish();
 
         expect_that!(reader.read_rest().await, ok(anything()));
-        expect_true!(from.is_asked_for_no_copy());
+        expect_true!(from.has_no_pending_copy());
         expect_true!(to.is_idle());
     });
 }
 
 #[gtest]
-fn what_is_no_time_is_counted_and_closes_the_endpoint_to_nobody() {
+fn invalid_retry_after_is_counted_and_ignored() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut endpoint = daemon.register("desk", "e1").await;
 
         for retry_after in ["soon", "-1", "NaN", "0"] {
-            rejected(&daemon, "/once/x", &mut endpoint, retry_after).await;
+            send_rejected(&daemon, "/once/x", &mut endpoint, retry_after).await;
         }
 
         let counted = |end| {
@@ -307,7 +300,7 @@
 }
 
 #[gtest]
-fn back_off_holds_also_where_the_answer_is_not_the_requests_own() {
+fn backoff_in_mismatched_response_is_applied() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut backing_off = daemon.register("desk", "wary").await;
--- a/crates/server/src/relay/tests/retry_budget.rs
+++ b/crates/server/src/relay/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The bound on repeats.
+//! The retry budget.
 
 use std::time::Duration;
 
@@ -25,10 +25,10 @@
 proptest! {
     #![proptest_config(fixed_seed(200))]
 
-    /// Whatever the entries are asked for, all together stay within the operators' bound in
-    /// every window.
+    /// For any request pattern, the retries of all daemons together stay within the budget in every
+    /// window.
     #[test]
-    fn all_entries_together_keep_the_bound(
+    fn budget_holds_across_daemons(
         daemons in 1usize..9,
         steps in proptest::collection::vec((0usize..9, any::<bool>(), 1u64..400), 1..600),
     ) {
@@ -60,7 +60,7 @@
 }
 
 #[gtest]
-fn repeats_come_back_when_the_window_has_passed() {
+fn retries_are_available_after_window() {
     let options = options();
     let mut retry_budget = RetryBudget::default();
     while retry_budget.try_acquire(&options, 9, Instant(0)) {}
--- a/crates/server/src/relay/tests/calls.rs
+++ b/crates/server/src/relay/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls: whole answers, "not run" and repeats.
+//! Unary calls: complete responses, rejections and retries.
 
 use googletest::prelude::*;
 use tokio::join;
@@ -10,25 +10,25 @@
 };
 
 #[gtest]
-fn an_answer_comes_back_whole_from_the_endpoint_that_was_meant() {
+fn call_returns_response_of_selected_endpoint() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut endpoint = daemon.register("desk", "e1").await;
 
-        let (answer, meant_for) = join!(daemon.send("/once/x", "r1"), async {
-            let arrival = endpoint.arrival().await;
-            let meant_for = arrival.meant_for.clone();
+        let (answer, endpoint_id) = join!(daemon.send("/once/x", "r1"), async {
+            let arrival = endpoint.next_arrival().await;
+            let endpoint_id = arrival.endpoint_id.clone();
             arrival.answer(200, "done");
-            meant_for
+            endpoint_id
         });
 
-        expect_that!(meant_for, eq("e1"));
+        expect_that!(endpoint_id, eq("e1"));
         expect_that!(text(answer).await, ok(eq("done")));
     });
 }
 
 #[gtest]
-fn a_call_that_was_turned_away_runs_at_another_endpoint() {
+fn rejected_call_is_retried_elsewhere() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let (mut e1, mut e2) =
@@ -36,13 +36,13 @@
 
         let (answer, ()) = join!(daemon.send("/once/x", "r1"), async {
             tokio::select! {
-                arrival = e1.arrival() => {
+                arrival = e1.next_arrival() => {
                     arrival.reject_unexecuted("full");
-                    e2.arrival().await.answer(200, "done");
+                    e2.next_arrival().await.answer(200, "done");
                 }
-                arrival = e2.arrival() => {
+                arrival = e2.next_arrival() => {
                     arrival.reject_unexecuted("full");
-                    e1.arrival().await.answer(200, "done");
+                    e1.next_arrival().await.answer(200, "done");
                 }
             }
         });
@@ -52,7 +52,7 @@
 }
 
 #[gtest]
-fn a_single_call_that_may_have_run_is_not_sent_again() {
+fn single_call_with_unknown_outcome_is_not_retried() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let (mut e1, mut e2) =
@@ -60,8 +60,8 @@
 
         let (answer, other_is_idle) = join!(daemon.send("/once/x", "r1"), async {
             tokio::select! {
-                arrival = e1.arrival() => { arrival.drop_connection(); e2.is_idle() }
-                arrival = e2.arrival() => { arrival.drop_connection(); e1.is_idle() }
+                arrival = e1.next_arrival() => { arrival.drop_connection(); e2.is_idle() }
+                arrival = e2.next_arrival() => { arrival.drop_connection(); e1.is_idle() }
             }
         });
 
@@ -72,13 +72,13 @@
 }
 
 #[gtest]
-fn a_crossed_answer_reaches_nobody() {
+fn response_to_another_request_is_discarded() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut endpoint = daemon.register("desk", "e1").await;
 
         let (answer, ()) = join!(daemon.send("/once/x", "r1"), async {
-            endpoint.arrival().await.respond_as_another_request();
+            endpoint.next_arrival().await.respond_as_another_request();
         });
 
         expect_that!(outcome(&answer), some(eq("outcome_unknown")));
@@ -87,7 +87,7 @@
 }
 
 #[gtest]
-fn a_call_that_may_be_repeated_gets_a_second_endpoint_and_no_third() {
+fn repeatable_call_stops_at_max_attempts() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut endpoints = [
@@ -100,9 +100,9 @@
         let (answer, ()) = join!(daemon.send("/again/x", "r1"), async {
             for _ in 0..2 {
                 tokio::select! {
-                    arrival = e1.arrival() => arrival.answer(500, "failed"),
-                    arrival = e2.arrival() => arrival.answer(500, "failed"),
-                    arrival = e3.arrival() => arrival.answer(500, "failed"),
+                    arrival = e1.next_arrival() => arrival.answer(500, "failed"),
+                    arrival = e2.next_arrival() => arrival.answer(500, "failed"),
+                    arrival = e3.next_arrival() => arrival.answer(500, "failed"),
                 }
             }
         });
@@ -114,7 +114,7 @@
 }
 
 #[gtest]
-fn a_call_without_an_endpoint_has_not_run() {
+fn call_without_endpoint_is_refused() {
     run_test(async {
         let daemon = TestDaemon::open().await;
 
@@ -126,7 +126,7 @@
 }
 
 #[gtest]
-fn an_endpoint_that_leaves_gets_no_new_call() {
+fn leaving_endpoint_gets_no_calls() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let (mut e1, mut e2) =
@@ -135,7 +135,7 @@
 
         for _ in 0..10 {
             let (answer, ()) = join!(daemon.send("/once/x", "r1"), async {
-                e2.arrival().await.answer(200, "done");
+                e2.next_arrival().await.answer(200, "done");
             });
             expect_that!(text(answer).await, ok(eq("done")));
         }
--- a/crates/server/src/relay/tests/cold_start.rs
+++ b/crates/server/src/relay/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! What many daemons together send to plain endpoints that are cold.
+//! Cold-start rate limiting of calls across many daemons.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -10,7 +10,8 @@
 
 use crate::relay::loads::{ColdStartPolicy, LoadBalancer, Outcome};
 
-/// What an endpoint bears in a second while it is cold, and what it falls over at.
+/// The rate that a cold endpoint is configured for, and the one that overloads it, in requests per
+/// second.
 const COLD_RPS: u32 = 20;
 const OVERLOAD_RPS: usize = 35;
 const SECOND: Duration = Duration::from_secs(1);
@@ -34,7 +35,7 @@
     ColdStartPolicy { limits, senders: SenderRole::one_of(daemons), now }
 }
 
-/// Sends a request of a daemon, if it may send any; returns where.
+/// Sends a request if an endpoint may take it; returns the endpoint.
 fn send(
     load_balancer: &LoadBalancer,
     endpoints: &[Registered],
@@ -60,7 +61,7 @@
 }
 
 #[gtest]
-fn daemons_together_send_a_cold_endpoint_what_it_bears_whatever_their_number() {
+fn cold_rate_limit_holds_across_daemons() {
     fastrand::seed(7);
     for daemons in [1, 7, 64, 300] {
         let all: Vec<LoadBalancer> =
@@ -80,7 +81,7 @@
 }
 
 #[gtest]
-fn while_cold_endpoints_take_no_more_the_others_are_chosen() {
+fn warm_endpoint_is_selected_while_cold_one_is_paced() {
     fastrand::seed(8);
     let load_balancer = LoadBalancer::new(Disabled::default());
     let endpoints = [endpoint(0, Some(Instant(0).after(SECOND))), endpoint(1, None)];
@@ -92,7 +93,7 @@
 }
 
 #[gtest]
-fn an_endpoint_that_did_not_answer_is_taken_for_cold_when_it_is_tried_again() {
+fn unreachable_endpoint_is_cold_on_retry() {
     fastrand::seed(9);
     let load_balancer = LoadBalancer::new(Disabled::default());
     let endpoints = [endpoint(0, None)];
@@ -104,7 +105,7 @@
 }
 
 #[gtest]
-fn one_that_is_cold_no_more_is_sent_all() {
+fn warm_endpoint_is_not_paced() {
     fastrand::seed(10);
     let load_balancer = LoadBalancer::new(Disabled::default());
     let endpoints = [endpoint(0, Some(Instant(0).after(SECOND)))];
--- a/crates/server/src/relay/tests/fake_endpoint.rs
+++ b/crates/server/src/relay/tests/fake_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that does what a test tells it.
+//! An endpoint under the control of a test.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,26 +16,26 @@
 };
 
 use super::protocol::{
-    AFTER, COPY_PATH, ENDPOINT, FREE_PATH, ID, LEAVING, LIMIT, LOAD_PATH, MEMORY, NOT_RUN,
-    RESERVATION, RESERVE_PATH, RETRY_AFTER, header,
+    COPY_PATH, ENDPOINT, FREE_PATH, ID, KV_COPY, LAST_EVENT, LEAVING, LIMIT, LOAD_PATH,
+    NOT_EXECUTED, RESERVATION, RESERVATION_PATH, RETRY_AFTER, header,
 };
 use crate::edge::{self, AnswerError, Body, Bounds, Handler, LocalFuture, Server};
 
-/// One attempt that came to the endpoint and waits for its answer.
+/// An attempt that waits for its response.
 pub(super) struct Arrival {
-    /// The request's id.
+    /// The request id.
     pub(super) id: String,
-    /// The path.
+    /// The request path.
     pub(super) path: String,
-    /// The endpoint that it was meant for.
-    pub(super) meant_for: String,
-    /// The last event that the caller has.
-    pub(super) after: Option<u64>,
-    /// Where the memory lies that it goes on from.
-    pub(super) memory: Option<String>,
-    /// The place that was kept for it.
+    /// The endpoint that the attempt was sent to.
+    pub(super) endpoint_id: String,
+    /// The last event that the caller received.
+    pub(super) last_event_id: Option<u64>,
+    /// The KV cache copy to resume from.
+    pub(super) kv_copy: Option<String>,
+    /// The reservation of the generation.
     pub(super) reservation: Option<String>,
-    /// What the endpoint says of itself in the answer.
+    /// Signal headers of the response.
     signals: Vec<(&'static str, String)>,
     answer: oneshot::Sender<Response<Body>>,
 }
@@ -46,11 +46,11 @@
         for (name, value) in self.signals {
             res = res.header(name, value);
         }
-        // A caller that has left takes no answer; the test sees that by other means.
+        // Fails if the caller has disconnected, which tests check elsewhere.
         let _ = self.answer.send(res.body(body).unwrap());
     }
 
-    /// Lets the answer name a limit, or none.
+    /// Adds a rate limit to the response.
     pub(super) fn with_rate_limit(self, limit: Option<&str>) -> Arrival {
         match limit {
             Some(limit) => self.with_header(LIMIT, limit),
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Lets the answer say that the endpoint is about to end.
+    /// Marks the endpoint as leaving in the response.
     pub(super) fn with_leaving(self) -> Arrival {
         self.with_header(LEAVING, "1")
     }
 
-    /// Lets the answer ask for this many seconds of back-off.
+    /// Adds a back-off, in seconds, to the response.
     pub(super) fn with_retry_after(self, retry_after: &str) -> Arrival {
         self.with_header(RETRY_AFTER, retry_after)
     }
@@ -73,47 +73,47 @@
         self
     }
 
-    /// Answers with the whole body at once.
+    /// Responds with a complete body.
     pub(super) fn answer(self, status: u16, text: &'static str) {
         self.respond(StatusCode::from_u16(status).unwrap(), edge::full(text));
     }
 
-    /// Says that it did not run.
+    /// Responds that the request was not executed.
     pub(super) fn reject_unexecuted(self, why: &str) {
-        self.with_header(NOT_RUN, why).respond(StatusCode::SERVICE_UNAVAILABLE, edge::empty());
+        self.with_header(NOT_EXECUTED, why).respond(StatusCode::SERVICE_UNAVAILABLE, edge::empty());
     }
 
-    /// Says that it did not run, and asks for this many seconds of back-off.
+    /// Responds that the request was not executed, with a back-off in seconds.
     pub(super) fn reject(self, retry_after: &str) {
         self.with_retry_after(retry_after).reject_unexecuted("full");
     }
 
-    /// Answers with the id of another request.
+    /// Responds with the id of another request.
     pub(super) fn respond_as_another_request(self) {
         let crossed = Arrival { id: "another".into(), ..self };
         crossed.respond(StatusCode::OK, edge::full("not yours"));
     }
 
-    /// Breaks the connection off without an answer.
+    /// Closes the connection without a response.
     pub(super) fn drop_connection(self) {
         drop(self.answer);
     }
 
-    /// Waits until nobody waits for the answer any more.
+    /// Waits until the caller no longer waits for the response.
     pub(super) async fn wait_until_cancelled(&mut self) {
         self.answer.closed().await;
     }
 
-    /// Streams the events of these ids and ends; returns the last event that the caller had.
+    /// Streams the events of these ids and finishes; returns the last event that the caller had.
     pub(super) async fn stream_all(self, ids: impl IntoIterator<Item = u64>) -> Option<u64> {
-        let after = self.after;
+        let after = self.last_event_id;
         let stream = self.stream();
-        stream.events(ids).await;
-        stream.end();
+        stream.send_events(ids).await;
+        stream.finish();
         after
     }
 
-    /// Begins a stream of events.
+    /// Begins an event stream.
     pub(super) fn stream(self) -> Stream {
         let (tx, rx) = mpsc::channel(64);
         self.respond(StatusCode::OK, edge::streamed(rx));
@@ -121,79 +121,79 @@
     }
 }
 
-/// The text of an event.
+/// The encoded event of this id.
 pub(super) fn event(id: u64) -> String {
     format!("id: {id}\ndata: token {id}\n\n")
 }
 
-/// The text of the events from one to the last.
+/// The encoded events 1 to `last`.
 pub(super) fn events_to(last: u64) -> String {
     (1..=last).map(event).collect()
 }
 
-/// A stream of events on its way.
+/// An event stream in progress.
 pub(super) struct Stream {
     tx: mpsc::Sender<Result<Bytes, AnswerError>>,
 }
 
 impl Stream {
     /// Sends the events of these ids.
-    pub(super) async fn events(&self, ids: impl IntoIterator<Item = u64>) {
+    pub(super) async fn send_events(&self, ids: impl IntoIterator<Item = u64>) {
         for id in ids {
-            self.bytes(event(id)).await;
+            self.send_bytes(event(id)).await;
         }
     }
 
-    /// Sends any bytes.
-    pub(super) async fn bytes(&self, bytes: impl Into<Bytes>) {
-        // The relay may have left; what it then does is what the test looks at.
+    /// Sends raw bytes.
+    pub(super) async fn send_bytes(&self, bytes: impl Into<Bytes>) {
+        // The relay may have disconnected, which tests check elsewhere.
         let _ = self.tx.send(Ok(bytes.into())).await;
     }
 
-    /// Ends as it should.
-    pub(super) fn end(self) {
+    /// Ends the stream cleanly.
+    pub(super) fn finish(self) {
         drop(self.tx);
     }
 
-    /// Breaks off.
+    /// Ends the stream with an error.
     pub(super) async fn abort(self) {
         let _ = self.tx.send(Err(AnswerError("cut".to_owned()))).await;
     }
 
-    /// Waits until nobody reads any more.
+    /// Waits until the stream is no longer read.
     pub(super) async fn wait_until_cancelled(&self) {
         self.tx.closed().await;
     }
 }
 
-/// An order to copy a generation's memory that waits for its answer.
+/// A copy command that waits for its reply.
 pub(super) struct PendingCopy {
-    /// The generation.
+    /// The request id of the generation.
     pub(super) id: String,
-    /// Whether it is to stop.
+    /// Whether this is the final copy.
     pub(super) last: bool,
     answer: oneshot::Sender<Response<Body>>,
 }
 
 impl PendingCopy {
-    /// Answers with a status and the name of the copy, if there is one.
+    /// Replies with a status and the id of the copy, if there is one.
     pub(super) fn answer(self, status: u16, handle: &'static str) {
         let res = Response::builder().status(status).body(edge::full(handle)).unwrap();
         let _ = self.answer.send(res);
     }
 }
 
-/// What an engine says of its room, and what it was asked for.
+/// The capacity that an engine reports and the reservations it got.
 #[derive(Default)]
 struct Capacity {
-    /// Tokens in memory.
-    used: Cell<u64>,
-    /// Whether it keeps a place for whoever asks.
-    keeps: Cell<bool>,
-    /// Seconds of back-off that it asks for when it is asked for its load.
+    /// KV cache usage in tokens.
+    kv_used: Cell<u64>,
+    /// Whether reservations are granted.
+    grants_reservations: Cell<bool>,
+    /// Back-off in seconds in responses to load requests.
     retry_after: RefCell<Option<String>>,
-    /// Tokens of the places that it was asked for.
-    asked: RefCell<Vec<u64>>,
+    /// Tokens of all reservation requests.
+    reserved: RefCell<Vec<u64>>,
 }
 
 impl Capacity {
@@ -202,18 +202,21 @@
         if let Some(retry_after) = &*self.retry_after.borrow() {
             res = res.header(RETRY_AFTER, retry_after);
         }
-        res.body(edge::full(self.used.get().to_string())).unwrap()
+        res.body(edge::full(self.kv_used.get().to_string())).unwrap()
     }
 
     fn reserve(&self, tokens: u64) -> Response<Body> {
-        self.asked.borrow_mut().push(tokens);
-        let status =
-            if self.keeps.get() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        self.reserved.borrow_mut().push(tokens);
+        let status = if self.grants_reservations.get() {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        };
         Response::builder().status(status).body(edge::full("kept")).unwrap()
     }
 }
 
-/// Hands all that comes to the endpoint over to the test.
+/// Forwards all requests to the test.
 struct Inbox {
     capacity: Rc<Capacity>,
     arrivals: mpsc::UnboundedSender<Arrival>,
@@ -234,7 +237,7 @@
             let _ = answer.send(self.capacity.load());
             return;
         }
-        if let Some(tokens) = req.uri().path().strip_prefix(RESERVE_PATH) {
+        if let Some(tokens) = req.uri().path().strip_prefix(RESERVATION_PATH) {
             let tokens = tokens.trim_start_matches('/').parse().unwrap();
             let _ = answer.send(self.capacity.reserve(tokens));
             return;
@@ -247,9 +250,9 @@
         let arrival = Arrival {
             id,
             path: req.uri().path().to_owned(),
-            meant_for: header(headers, ENDPOINT).unwrap_or_default(),
-            after: header(headers, AFTER),
-            memory: header(headers, MEMORY),
+            endpoint_id: header(headers, ENDPOINT).unwrap_or_default(),
+            last_event_id: header(headers, LAST_EVENT),
+            kv_copy: header(headers, KV_COPY),
             reservation: header(headers, RESERVATION),
             signals: Vec::new(),
             answer,
@@ -265,7 +268,7 @@
         Box::pin(async move {
             match rx.await {
                 Ok(res) => res,
-                Err(_) => broken_off(),
+                Err(_) => aborted_response(),
             }
         })
     }
@@ -279,8 +282,8 @@
     }
 }
 
-/// An answer whose body fails at once, so that the connection is closed before its end.
-fn broken_off() -> Response<Body> {
+/// A response whose body fails at once, which closes the connection.
+fn aborted_response() -> Response<Body> {
     let (tx, rx) = mpsc::channel(1);
     let _ = tx.try_send(Err(AnswerError("broken off".to_owned())));
     Response::new(edge::streamed(rx))
@@ -296,7 +299,7 @@
 }
 
 impl FakeEndpoint {
-    /// Starts an endpoint that leaves all that comes to the test.
+    /// Starts an endpoint that leaves all requests to the test.
     pub(super) fn open() -> FakeEndpoint {
         let (arrivals_tx, arrivals) = mpsc::unbounded_channel();
         let (copies_tx, copies) = mpsc::unbounded_channel();
@@ -312,56 +315,56 @@
         FakeEndpoint { server, arrivals, copies, freed, capacity }
     }
 
-    /// Where it listens.
+    /// The listening address.
     pub(super) fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// What it says from now on: tokens in memory, and whether it keeps places.
-    pub(super) fn set_capacity(&self, used: u64, keeps: bool) {
-        self.capacity.used.set(used);
-        self.capacity.keeps.set(keeps);
+    /// Sets the reported KV cache usage and whether reservations are granted.
+    pub(super) fn set_capacity(&self, kv_used: u64, grants_reservations: bool) {
+        self.capacity.kv_used.set(kv_used);
+        self.capacity.grants_reservations.set(grants_reservations);
     }
 
-    /// Seconds of back-off that it asks for from now on when it is asked for its load.
+    /// Sets the back-off, in seconds, in responses to load requests.
     pub(super) fn set_load_retry_after(&self, retry_after: &str) {
         *self.capacity.retry_after.borrow_mut() = Some(retry_after.to_owned());
     }
 
-    /// Tokens of the places that it was asked for.
+    /// Tokens of all reservation requests so far.
     pub(super) fn reserved_tokens(&self) -> Vec<u64> {
-        self.capacity.asked.borrow().clone()
+        self.capacity.reserved.borrow().clone()
     }
 
-    /// Ends: takes no connections any more. What runs here is broken off by whoever holds it.
-    pub(super) async fn end(&self) {
+    /// Stops listening. Open connections are closed by whoever holds them.
+    pub(super) async fn shut_down(&self) {
         self.server.close();
         while TcpStream::connect(self.address()).await.is_ok() {
             tokio::task::yield_now().await;
         }
     }
 
-    /// The next attempt that comes.
-    pub(super) async fn arrival(&mut self) -> Arrival {
+    /// The next attempt.
+    pub(super) async fn next_arrival(&mut self) -> Arrival {
         self.arrivals.recv().await.expect("the endpoint lives as long as the test")
     }
 
-    /// The next order to copy.
-    pub(super) async fn copy(&mut self) -> PendingCopy {
+    /// The next copy command.
+    pub(super) async fn next_copy(&mut self) -> PendingCopy {
         self.copies.recv().await.expect("the endpoint lives as long as the test")
     }
 
-    /// Whether no order to copy has come that was not taken.
-    pub(super) fn is_asked_for_no_copy(&mut self) -> bool {
+    /// Whether no copy command is pending.
+    pub(super) fn has_no_pending_copy(&mut self) -> bool {
         self.copies.try_recv().is_err()
     }
 
-    /// The name of the next copy that may be forgotten.
-    pub(super) async fn freed(&mut self) -> String {
+    /// The id of the next copy that is freed.
+    pub(super) async fn next_freed(&mut self) -> String {
         self.freed.recv().await.expect("the endpoint lives as long as the test")
     }
 
-    /// Whether any attempt has come that was not taken.
+    /// Whether no attempt is pending.
     pub(super) fn is_idle(&mut self) -> bool {
         self.arrivals.try_recv().is_err()
     }
@@ -370,7 +373,7 @@
 /// The next attempt at either endpoint.
 pub(super) async fn next_arrival_at(e1: &mut FakeEndpoint, e2: &mut FakeEndpoint) -> Arrival {
     tokio::select! {
-        arrival = e1.arrival() => arrival,
-        arrival = e2.arrival() => arrival,
+        arrival = e1.next_arrival() => arrival,
+        arrival = e2.next_arrival() => arrival,
     }
 }
--- a/crates/server/src/relay/tests/generations.rs
+++ b/crates/server/src/relay/tests/generations.rs
@@ -1,4 +1,4 @@
-//! Generations: each event once, in order, from one run, and what happens when one is cut.
+//! Generations: each event is forwarded once and in order, from a single run; failures and retries.
 
 use googletest::prelude::*;
 use tokio::join;
@@ -9,7 +9,7 @@
     test_daemon::{TestDaemon, run_test},
 };
 
-/// A generation that runs at either endpoint, whose caller has its events up to `last`.
+/// A generation on either endpoint whose caller has read the events 1 to `last`.
 async fn running(
     daemon: &TestDaemon,
     path: &str,
@@ -19,7 +19,7 @@
 ) -> (ResponseReader, Stream) {
     let (answer, stream) = join!(daemon.send(path, "r1"), async {
         let stream = next_arrival_at(e1, e2).await.stream();
-        stream.events(1..=last).await;
+        stream.send_events(1..=last).await;
         stream
     });
     let mut reader = ResponseReader::new(answer);
@@ -28,15 +28,15 @@
 }
 
 #[gtest]
-fn a_generation_comes_whole() {
+fn all_events_are_forwarded() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut engine = daemon.register("engines", "e1").await;
 
         let (answer, ()) = join!(daemon.send("/chat/", "r1"), async {
-            let stream = engine.arrival().await.stream();
-            stream.events(1..=20).await;
-            stream.end();
+            let stream = engine.next_arrival().await.stream();
+            stream.send_events(1..=20).await;
+            stream.finish();
         });
 
         expect_that!(text(answer).await, ok(eq(&events_to(20))));
@@ -44,7 +44,7 @@
 }
 
 #[gtest]
-fn a_generation_that_is_cut_does_not_look_complete_and_runs_nowhere_else() {
+fn interrupted_generation_is_aborted_and_not_retried() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let (mut e1, mut e2) =
@@ -59,7 +59,7 @@
 }
 
 #[gtest]
-fn one_that_may_be_resumed_goes_on_after_the_last_whole_event() {
+fn resumable_generation_continues_after_last_event() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let (mut e1, mut e2) =
@@ -67,7 +67,7 @@
 
         let (reader, stream) = running(&daemon, "/recap/", 3, &mut e1, &mut e2).await;
         let (whole, after) = join!(reader.read_rest(), async {
-            stream.bytes("id: 4\ndata: tok").await;
+            stream.send_bytes("id: 4\ndata: tok").await;
             stream.abort().await;
             next_arrival_at(&mut e1, &mut e2).await.stream_all(4..=6).await
         });
@@ -78,7 +78,7 @@
 }
 
 #[gtest]
-fn events_that_come_again_are_dropped() {
+fn duplicate_events_are_dropped() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let (mut e1, mut e2) =
@@ -95,15 +95,15 @@
 }
 
 #[gtest]
-fn a_gap_between_events_ends_the_answer() {
+fn event_gap_aborts_response() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut engine = daemon.register("engines", "e1").await;
 
         let (answer, ()) = join!(daemon.send("/chat/", "r1"), async {
-            let stream = engine.arrival().await.stream();
-            stream.events([1, 2, 4]).await;
-            stream.end();
+            let stream = engine.next_arrival().await.stream();
+            stream.send_events([1, 2, 4]).await;
+            stream.finish();
         });
 
         expect_that!(text(answer).await, err(anything()));
@@ -111,7 +111,7 @@
 }
 
 #[gtest]
-fn a_generation_that_was_turned_away_runs_elsewhere() {
+fn rejected_generation_is_retried_elsewhere() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let (mut e1, mut e2) =
@@ -127,7 +127,7 @@
 }
 
 #[gtest]
-fn a_generation_without_a_first_event_may_have_run() {
+fn outcome_is_unknown_without_first_event() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let (mut e1, mut e2) =
@@ -143,19 +143,19 @@
 }
 
 #[gtest]
-fn a_caller_that_leaves_ends_the_generation() {
+fn disconnect_cancels_generation() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut engine = daemon.register("engines", "e1").await;
 
         let (answer, stream) = join!(daemon.send("/chat/", "r1"), async {
-            let stream = engine.arrival().await.stream();
-            stream.events([1]).await;
+            let stream = engine.next_arrival().await.stream();
+            stream.send_events([1]).await;
             stream
         });
         drop(answer);
 
-        // The engine's connection is closed; otherwise this waits for ever.
+        // Hangs if the connection to the engine stays open.
         stream.wait_until_cancelled().await;
     });
 }
--- a/crates/server/src/relay/tests/data_halls.rs
+++ b/crates/server/src/relay/tests/halls.rs
@@ -1,4 +1,4 @@
-//! Data halls that operators take out of service and give back.
+//! Data halls that operators take out of service and put back.
 
 use googletest::prelude::*;
 use tokio::join;
@@ -11,7 +11,7 @@
 };
 
 #[gtest]
-fn while_its_only_hall_is_out_a_service_refuses_at_once_and_serves_when_it_is_back() {
+fn service_is_refused_while_its_only_hall_is_out() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut desk = daemon.register("desk", "e1").await;
@@ -22,7 +22,7 @@
         let generation = daemon.send("/chat/x", "r2").await;
         daemon.set_hall_out(false, "e1").await;
         let (served, ()) = join!(daemon.send("/once/x", "r3"), async {
-            desk.arrival().await.answer(200, "done");
+            desk.next_arrival().await.answer(200, "done");
         });
 
         expect_that!(call.head.headers[OUTCOME], eq("out_of_service"));
@@ -32,21 +32,21 @@
 }
 
 #[gtest]
-fn what_runs_in_a_hall_that_is_taken_out_goes_on_to_its_end() {
+fn running_generation_completes_in_hall_taken_out() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut engine = daemon.register("engines", "e1").await;
         let (answer, stream) = join!(daemon.send("/chat/x", "r1"), async {
-            let stream = engine.arrival().await.stream();
-            stream.events(1..=3).await;
+            let stream = engine.next_arrival().await.stream();
+            stream.send_events(1..=3).await;
             stream
         });
         let mut reader = ResponseReader::new(answer);
         reader.read_to(3).await;
 
         daemon.set_hall_out(true, "e1").await;
-        stream.events(4..=6).await;
-        stream.end();
+        stream.send_events(4..=6).await;
+        stream.finish();
 
         expect_that!(reader.read_rest().await, ok(eq(&events_to(6))));
     });
--- a/crates/server/src/relay/tests/latency.rs
+++ b/crates/server/src/relay/tests/latency.rs
@@ -1,4 +1,4 @@
-//! Tests of the time from which on a call takes unusually long.
+//! The hedging delay.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::{relay::latency::LatencyEstimate, testing::fixed_seed};
 
 #[gtest]
-fn nothing_is_unusual_before_enough_calls_are_known() {
+fn no_hedge_delay_before_min_samples() {
     let mut latency = LatencyEstimate::default();
     for _ in 0..15 {
         latency.record(Duration::from_millis(30));
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn what_is_unusual_follows_a_service_that_becomes_slower() {
+fn hedge_delay_follows_slower_service() {
     let mut latency = LatencyEstimate::default();
     let mut feed = |ms| {
         for _ in 0..100 {
@@ -41,19 +41,19 @@
 proptest! {
     #![proptest_config(fixed_seed(100))]
 
-    /// Of calls that take a time and half of it more at most, no more than a sixth is unusual.
+    /// For latencies within a factor of 1.5, at most a sixth exceed the hedging delay.
     #[test]
-    fn few_calls_are_unusual(times in proptest::collection::vec(20u64..30, 100..300)) {
+    fn few_calls_exceed_hedge_delay(times in proptest::collection::vec(20u64..30, 100..300)) {
         let mut latency = LatencyEstimate::default();
-        let mut unusual = 0;
+        let mut hedged = 0;
         for ms in &times {
             let took = Duration::from_millis(*ms);
             if latency.hedge_delay().is_some_and(|after| after < took) {
-                unusual += 1;
+                hedged += 1;
             }
             latency.record(took);
         }
 
-        prop_assert!(unusual * 6 <= times.len(), "{unusual} of {}", times.len());
+        prop_assert!(hedged * 6 <= times.len(), "{hedged} of {}", times.len());
     }
 }
--- a/crates/server/src/relay/tests/leaving.rs
+++ b/crates/server/src/relay/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Callers that leave: at every place that a request can be, the work for it ends, and what was
-//! held for it is free again. Where it does not, a test waits for ever.
+//! Callers that disconnect: in every state of a request, its work is cancelled and its resources
+//! are released. A test hangs otherwise.
 
 use googletest::prelude::*;
 use tokio::{join, select};
@@ -10,26 +10,30 @@
     test_daemon::{TestDaemon, run_test},
 };
 
-/// Asks, and leaves when the request has come to an endpoint.
-async fn leave_at(daemon: &TestDaemon, path: &str, endpoint: &mut FakeEndpoint) -> Arrival {
+/// Sends a request and disconnects when it reaches the endpoint.
+async fn disconnect_at_endpoint(
+    daemon: &TestDaemon,
+    path: &str,
+    endpoint: &mut FakeEndpoint,
+) -> Arrival {
     select! {
         _ = daemon.send(path, "left") => panic!("nobody has answered"),
-        arrival = endpoint.arrival() => arrival,
+        arrival = endpoint.next_arrival() => arrival,
     }
 }
 
-/// Asks, and leaves once this is so.
-async fn leave_once(daemon: &TestDaemon, path: &str, is_so: impl Future<Output = ()>) {
+/// Sends a request and disconnects when `condition` completes.
+async fn disconnect_once(daemon: &TestDaemon, path: &str, condition: impl Future<Output = ()>) {
     select! {
         _ = daemon.send(path, "left") => panic!("nobody has answered"),
-        () = is_so => {}
+        () = condition => {}
     }
 }
 
-/// Whether the next request is the only one that comes to an engine.
-async fn only_the_next_comes(daemon: &TestDaemon, path: &str, engine: &mut FakeEndpoint) {
+/// Expects that the next request is the only one that reaches the engine.
+async fn expect_only_next_request(daemon: &TestDaemon, path: &str, engine: &mut FakeEndpoint) {
     let (answer, arrived) = join!(daemon.send(path, "next"), async {
-        let arrival = engine.arrival().await;
+        let arrival = engine.next_arrival().await;
         let id = arrival.id.clone();
         arrival.stream_all([1]).await;
         id
@@ -40,16 +44,16 @@
     expect_true!(engine.is_idle());
 }
 
-/// A generation whose caller has its events up to `last`.
-async fn running(
+/// A generation whose caller has read the events 1 to `last`.
+async fn start_stream(
     daemon: &TestDaemon,
     path: &str,
     last: u64,
     e: &mut FakeEndpoint,
 ) -> (ResponseReader, Stream) {
     let (answer, stream) = join!(daemon.send(path, "left"), async {
-        let stream = e.arrival().await.stream();
-        stream.events(1..=last).await;
+        let stream = e.next_arrival().await.stream();
+        stream.send_events(1..=last).await;
         stream
     });
     let mut reader = ResponseReader::new(answer);
@@ -58,58 +62,58 @@
 }
 
 #[gtest]
-fn while_the_daemon_has_no_configuration_yet() {
+fn before_configuration() {
     run_test(async {
         let daemon = TestDaemon::start(std::time::Duration::from_secs(60));
 
-        leave_once(&daemon, "/chat/", daemon.wait_for_connection()).await;
+        disconnect_once(&daemon, "/chat/", daemon.wait_for_connection()).await;
         daemon.wait_until_idle().await;
         daemon.configure().await;
         let mut engine = daemon.register("engines", "e1").await;
 
-        only_the_next_comes(&daemon, "/chat/", &mut engine).await;
+        expect_only_next_request(&daemon, "/chat/", &mut engine).await;
     });
 }
 
 #[gtest]
-fn while_no_endpoint_is_known() {
+fn without_endpoints() {
     run_test(async {
         let daemon = TestDaemon::open().await;
 
-        leave_once(&daemon, "/chat/", daemon.wait_for_connection()).await;
+        disconnect_once(&daemon, "/chat/", daemon.wait_for_connection()).await;
         daemon.wait_until_idle().await;
         let mut engine = daemon.register("engines", "e1").await;
 
-        only_the_next_comes(&daemon, "/chat/", &mut engine).await;
-        expect_that!(daemon.running().await, eq(0));
+        expect_only_next_request(&daemon, "/chat/", &mut engine).await;
+        expect_that!(daemon.running_requests().await, eq(0));
     });
 }
 
 #[gtest]
-fn while_it_waits_for_a_place() {
+fn while_queued_for_placement() {
     run_test(async {
         let daemon = TestDaemon::open().await;
-        // The only place is taken.
+        // The only slot is taken.
         let mut engine = daemon.register_with_slots("engines", "e1", 1).await;
-        let (reader, stream) = running(&daemon, "/chat/", 1, &mut engine).await;
+        let (reader, stream) = start_stream(&daemon, "/chat/", 1, &mut engine).await;
 
-        leave_once(&daemon, "/chat/", daemon.wait_for_in_progress(2)).await;
+        disconnect_once(&daemon, "/chat/", daemon.wait_for_in_progress(2)).await;
         daemon.wait_for_in_progress(1).await;
-        let rest = join!(reader.read_rest(), async { stream.end() }).0;
+        let rest = join!(reader.read_rest(), async { stream.finish() }).0;
         daemon.wait_until_idle().await;
 
         expect_that!(rest, ok(anything()));
-        only_the_next_comes(&daemon, "/chat/", &mut engine).await;
+        expect_only_next_request(&daemon, "/chat/", &mut engine).await;
     });
 }
 
 #[gtest]
-fn while_a_call_runs() {
+fn during_call() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut desk = daemon.register("desk", "d1").await;
 
-        let mut arrival = leave_at(&daemon, "/once/", &mut desk).await;
+        let mut arrival = disconnect_at_endpoint(&daemon, "/once/", &mut desk).await;
 
         arrival.wait_until_cancelled().await;
         daemon.wait_until_idle().await;
@@ -117,7 +121,7 @@
 }
 
 #[gtest]
-fn while_the_second_attempt_of_a_call_runs() {
+fn during_second_attempt_of_call() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let (mut d1, mut d2) =
@@ -142,11 +146,11 @@
         let daemon = TestDaemon::open().await;
         let mut engine = daemon.register("engines", "e1").await;
 
-        let mut arrival = leave_at(&daemon, "/chat/", &mut engine).await;
+        let mut arrival = disconnect_at_endpoint(&daemon, "/chat/", &mut engine).await;
 
         arrival.wait_until_cancelled().await;
         daemon.wait_until_idle().await;
-        expect_that!(daemon.running().await, eq(0));
+        expect_that!(daemon.running_requests().await, eq(0));
     });
 }
 
@@ -156,94 +160,96 @@
         let daemon = TestDaemon::open().await;
         let mut engine = daemon.register("engines", "e1").await;
 
-        let (reader, stream) = running(&daemon, "/chat/", 3, &mut engine).await;
+        let (reader, stream) = start_stream(&daemon, "/chat/", 3, &mut engine).await;
         drop(reader);
 
         stream.wait_until_cancelled().await;
         daemon.wait_until_idle().await;
-        expect_that!(daemon.running().await, eq(0));
+        expect_that!(daemon.running_requests().await, eq(0));
     });
 }
 
 #[gtest]
-fn while_it_goes_on_at_another_endpoint() {
+fn during_restart() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut e1 = daemon.register("engines", "e1").await;
-        let (reader, stream) = running(&daemon, "/recap/", 3, &mut e1).await;
+        let (reader, stream) = start_stream(&daemon, "/recap/", 3, &mut e1).await;
         let mut e2 = daemon.register("engines", "e2").await;
 
-        let (mut again, ()) = join!(e2.arrival(), stream.abort());
+        let (mut again, ()) = join!(e2.next_arrival(), stream.abort());
         drop(reader);
 
         again.wait_until_cancelled().await;
         daemon.wait_until_idle().await;
-        expect_that!(daemon.running().await, eq(0));
+        expect_that!(daemon.running_requests().await, eq(0));
     });
 }
 
-/// A generation whose engine leaves; the order for its first copy has come.
-async fn moving(daemon: &TestDaemon) -> (ResponseReader, Stream, FakeEndpoint, FakeEndpoint) {
+/// A generation that is being relocated off a leaving engine.
+async fn start_relocation(
+    daemon: &TestDaemon,
+) -> (ResponseReader, Stream, FakeEndpoint, FakeEndpoint) {
     let mut from = daemon.register("engines", "from").await;
-    let (reader, stream) = running(daemon, "/chat/", 3, &mut from).await;
+    let (reader, stream) = start_stream(daemon, "/chat/", 3, &mut from).await;
     let to = daemon.register("engines", "to").await;
     daemon.announce_leaving("from").await;
     (reader, stream, from, to)
 }
 
 #[gtest]
-fn while_the_first_copy_is_made() {
+fn during_first_copy() {
     run_test(async {
         let daemon = TestDaemon::open().await;
-        let (reader, stream, mut from, mut to) = moving(&daemon).await;
-        let first = from.copy().await;
+        let (reader, stream, mut from, mut to) = start_relocation(&daemon).await;
+        let first = from.next_copy().await;
 
         drop(reader);
         stream.wait_until_cancelled().await;
         first.answer(200, "h1");
 
-        // The copy holds memory at both engines until it is freed.
-        expect_that!(from.freed().await, eq("h1"));
+        // Copies use memory on both engines until they are freed.
+        expect_that!(from.next_freed().await, eq("h1"));
         daemon.wait_until_idle().await;
         expect_true!(to.is_idle());
-        expect_that!(daemon.running().await, eq(0));
+        expect_that!(daemon.running_requests().await, eq(0));
     });
 }
 
 #[gtest]
-fn while_the_last_copy_is_made() {
+fn during_final_copy() {
     run_test(async {
         let daemon = TestDaemon::open().await;
-        let (reader, stream, mut from, mut to) = moving(&daemon).await;
-        from.copy().await.answer(200, "h1");
-        let last = from.copy().await;
-        stream.end();
+        let (reader, stream, mut from, mut to) = start_relocation(&daemon).await;
+        from.next_copy().await.answer(200, "h1");
+        let last = from.next_copy().await;
+        stream.finish();
 
         drop(reader);
         last.answer(200, "h2");
 
-        expect_that!(from.freed().await, eq("h2"));
+        expect_that!(from.next_freed().await, eq("h2"));
         daemon.wait_until_idle().await;
         expect_true!(to.is_idle());
-        expect_that!(daemon.running().await, eq(0));
+        expect_that!(daemon.running_requests().await, eq(0));
     });
 }
 
 #[gtest]
-fn while_it_goes_on_where_its_copy_lies() {
+fn during_resume_from_copy() {
     run_test(async {
         let daemon = TestDaemon::open().await;
-        let (reader, stream, mut from, mut to) = moving(&daemon).await;
-        from.copy().await.answer(200, "h1");
-        let last = from.copy().await;
-        stream.end();
+        let (reader, stream, mut from, mut to) = start_relocation(&daemon).await;
+        from.next_copy().await.answer(200, "h1");
+        let last = from.next_copy().await;
+        stream.finish();
         last.answer(200, "h2");
-        let mut arrival = to.arrival().await;
+        let mut arrival = to.next_arrival().await;
 
         drop(reader);
 
         arrival.wait_until_cancelled().await;
         daemon.wait_until_idle().await;
-        expect_that!(daemon.running().await, eq(0));
+        expect_that!(daemon.running_requests().await, eq(0));
     });
 }
--- a/crates/server/src/relay/tests/rate_limit.rs
+++ b/crates/server/src/relay/tests/limits.rs
@@ -1,18 +1,7 @@
-//! Endpoints that name how many requests a second they take.
+//! Endpoints that report a rate limit.
 //!
-//! What users saw: two of four application endpoints were in need and named in every answer how much they take
-//! from all daemons together, 3 and 2.3 requests a second. Both went on getting eight to nine a second, as
-//! before. Nothing failed by it; the endpoints that asked for relief got none.
-//!
-//! Order of events: an endpoint names its limit in an answer; the entry passes the answer on to its caller, and
-//! sends the next request there 0.1 s later, as the least loaded endpoint.
-//!
-//! Cause: nobody read it. An endpoint was chosen by what this daemon runs there and by its failures; what it said
-//! of itself in an answer was used for nothing, and no daemon knew what the others send.
-//!
-//! Evidence: the rate at these endpoints was the same before and after, and at entries that had had such an answer
-//! as at those that had not; none of the requests was a second attempt, and the two other endpoints had room.
-//! Here one entry brings the same about, with calls and with generations.
+//! Guards against limits being ignored, so that an overloaded endpoint gets requests at an
+//! unchanged rate.
 
 use std::time::Instant;
 
@@ -25,20 +14,21 @@
     test_daemon::{TestDaemon, run_test},
 };
 
-/// What an endpoint in need takes in a second: so little that a test is over before the next one is due.
-const LIMIT: f64 = 0.2;
-/// A limit at which a call that waits is served soon.
-const SOON: &str = "20";
-/// Requests that are sent, one after the other.
+/// Limit of the overloaded endpoint in requests per second; the next permit is due after the end of
+/// the test.
+const LIMIT_RPS: f64 = 0.2;
+/// A limit at which a queued call is served soon.
+const FAST_LIMIT: &str = "20";
+/// Requests sent in sequence.
 const REQUESTS: u32 = 40;
 
-/// Most requests that an endpoint in need may get in the time since it named its limit: the one that was told
-/// of it, one at once, and what the limit allows.
+/// Most requests that the limited endpoint may get: the one that reported the limit, one
+/// immediately, and those within the limit.
 fn allowed(since: Instant) -> u32 {
-    2 + (LIMIT * since.elapsed().as_secs_f64()) as u32
+    2 + (LIMIT_RPS * since.elapsed().as_secs_f64()) as u32
 }
 
-/// Sends requests one after the other while the first endpoint is in need; returns how many it has got.
+/// Sends requests in sequence while `limited` reports its limit; returns how many it got.
 async fn send_all(
     daemon: &TestDaemon,
     path: &str,
@@ -47,29 +37,29 @@
 ) -> u32 {
     let mut sent_to_limited = 0;
     for _ in 0..REQUESTS {
-        let (answer, meant_for) = join!(daemon.send(path, "r1"), async {
+        let (answer, endpoint_id) = join!(daemon.send(path, "r1"), async {
             let arrival = next_arrival_at(limited, other).await;
-            let meant_for = arrival.meant_for.clone();
-            let limit = (meant_for == "needy").then(|| LIMIT.to_string());
+            let endpoint_id = arrival.endpoint_id.clone();
+            let limit = (endpoint_id == "needy").then(|| LIMIT_RPS.to_string());
             arrival.with_rate_limit(limit.as_deref()).answer(200, "id: 1\ndata: token 1\n\n");
-            meant_for
+            endpoint_id
         });
         assert_that!(text(answer).await, ok(contains_substring("token 1")));
-        sent_to_limited += u32::from(meant_for == "needy");
+        sent_to_limited += u32::from(endpoint_id == "needy");
     }
     sent_to_limited
 }
 
-/// Makes one call that an endpoint answers, naming this.
+/// Sends one call whose response reports `limit`.
 async fn call(daemon: &TestDaemon, path: &str, endpoint: &mut FakeEndpoint, limit: Option<&str>) {
     let (answer, ()) = join!(daemon.send(path, "r1"), async {
-        endpoint.arrival().await.with_rate_limit(limit).answer(200, "done");
+        endpoint.next_arrival().await.with_rate_limit(limit).answer(200, "done");
     });
     expect_that!(text(answer).await, ok(eq("done")));
 }
 
 #[gtest]
-fn calls_keep_to_the_limit_that_an_endpoint_names() {
+fn calls_respect_reported_limit() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut limited = daemon.register("desk", "needy").await;
@@ -83,7 +73,7 @@
 }
 
 #[gtest]
-fn generations_keep_to_the_limit_that_an_engine_names() {
+fn generations_respect_reported_limit() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut limited = daemon.register("engines", "needy").await;
@@ -97,13 +87,13 @@
 }
 
 #[gtest]
-fn calls_wait_for_their_turn_where_every_endpoint_names_a_limit() {
+fn calls_wait_for_permit_if_all_endpoints_are_limited() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut endpoint = daemon.register("desk", "e1").await;
 
         for _ in 0..5 {
-            call(&daemon, "/once/x", &mut endpoint, Some(SOON)).await;
+            call(&daemon, "/once/x", &mut endpoint, Some(FAST_LIMIT)).await;
         }
 
         let granted = "trayswitch_leaves_total{end=\"granted\",service=\"desk\"}";
@@ -112,7 +102,7 @@
 }
 
 #[gtest]
-fn a_call_that_no_endpoint_takes_in_time_is_refused_at_once() {
+fn call_is_refused_at_once_if_no_permit_in_time() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut endpoint = daemon.register("desk", "e1").await;
@@ -127,11 +117,11 @@
 }
 
 #[gtest]
-fn an_endpoint_that_names_no_limit_any_more_gets_all_calls_again() {
+fn missing_limit_clears_known_limit() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut endpoint = daemon.register("desk", "e1").await;
-        call(&daemon, "/once/x", &mut endpoint, Some(SOON)).await;
+        call(&daemon, "/once/x", &mut endpoint, Some(FAST_LIMIT)).await;
         daemon.wait_for_metric("trayswitch_limited_endpoints", 1).await;
 
         call(&daemon, "/once/x", &mut endpoint, None).await;
@@ -142,7 +132,7 @@
 }
 
 #[gtest]
-fn what_is_no_limit_is_counted_and_holds_nothing_back() {
+fn invalid_limit_is_counted_and_ignored() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut endpoint = daemon.register("desk", "e1").await;
@@ -157,13 +147,13 @@
 }
 
 #[gtest]
-fn a_refusal_names_a_limit_like_any_answer() {
+fn limit_in_rejection_is_applied() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut endpoint = daemon.register("desk", "e1").await;
 
         let (refused, ()) = join!(daemon.send("/soon/x", "r1"), async {
-            endpoint.arrival().await.with_rate_limit(Some("0")).reject_unexecuted("full");
+            endpoint.next_arrival().await.with_rate_limit(Some("0")).reject_unexecuted("full");
         });
 
         expect_that!(outcome(&refused), some(eq("endpoint_refused")));
@@ -172,24 +162,24 @@
 }
 
 #[gtest]
-fn an_answer_to_the_daemons_own_question_lifts_no_limit() {
+fn control_response_does_not_clear_limit() {
     run_test(async {
-        // Without a scheduler an engine is asked for its load before each generation.
+        // Without a scheduler, an engine is asked for its load before each generation.
         let daemon = TestDaemon::without_scheduler().await;
         let mut engine = daemon.register("engines", "e1").await;
         let (first, ()) = join!(daemon.send("/chat/x", "r1"), async {
             engine
-                .arrival()
+                .next_arrival()
                 .await
-                .with_rate_limit(Some(SOON))
+                .with_rate_limit(Some(FAST_LIMIT))
                 .answer(200, "id: 1\ndata: token 1\n\n");
         });
         expect_that!(text(first).await, ok(anything()));
 
         let (second, limited_endpoints) = join!(daemon.send("/chat/x", "r2"), async {
-            let arrival = engine.arrival().await;
+            let arrival = engine.next_arrival().await;
             let limited_endpoints = daemon.metric("trayswitch_limited_endpoints");
-            arrival.with_rate_limit(Some(SOON)).answer(200, "id: 1\ndata: token 1\n\n");
+            arrival.with_rate_limit(Some(FAST_LIMIT)).answer(200, "id: 1\ndata: token 1\n\n");
             limited_endpoints
         });
 
--- a/crates/server/src/relay/tests/mod.rs
+++ b/crates/server/src/relay/tests/mod.rs
@@ -1,21 +1,21 @@
-//! Tests of the relay: a whole entry with endpoints that do what a test tells them.
+//! Tests of the relay: a complete daemon with endpoints controlled by the test.
 
 mod backoff;
+mod budget;
 mod calls;
 mod cold_start;
-mod data_halls;
-mod failed_attempt;
+mod crashing;
+mod ended;
 mod fake_endpoint;
 mod generations;
+mod halls;
 mod latency;
 mod leaving;
-mod local_placement;
+mod limits;
+mod moves;
 mod protocol;
-mod quarantine;
-mod rate_limit;
-mod relocation;
 mod response;
-mod retry_budget;
-mod startup;
-mod suspension;
+mod starting;
+mod suspended;
 mod test_daemon;
+mod unscheduled;
--- a/crates/server/src/relay/tests/relocation.rs
+++ b/crates/server/src/relay/tests/moves.rs
@@ -1,17 +1,17 @@
-//! Generations that move off engines which leave.
+//! Relocation of generations off leaving engines.
 
 use googletest::prelude::*;
 use tokio::join;
 
 use super::{
     fake_endpoint::{FakeEndpoint, PendingCopy, Stream, events_to},
-    protocol::memory_text,
+    protocol::kv_copy_header,
     response::ResponseReader,
-    test_daemon::{TestDaemon, broken_off, run_test},
+    test_daemon::{TestDaemon, failed_attempts_metric, run_test},
 };
 use crate::relay::KvCopy;
 
-/// A generation that runs at `from`, which leaves; `to` is another engine.
+/// A generation running on `from`, which is leaving; `to` is another engine.
 struct Running {
     daemon: TestDaemon,
     reader: ResponseReader,
@@ -20,14 +20,14 @@
     to: FakeEndpoint,
 }
 
-/// Starts a generation with events up to `last` while there is one engine; then comes another,
-/// and the first one leaves.
+/// Starts a generation on `from`, reads its events up to `last`, then starts `to` and makes `from`
+/// leave.
 async fn running(path: &str, last: u64) -> Running {
     let daemon = TestDaemon::open().await;
     let mut from = daemon.register("engines", "from").await;
     let (answer, stream) = join!(daemon.send(path, "r1"), async {
-        let stream = from.arrival().await.stream();
-        stream.events(1..=last).await;
+        let stream = from.next_arrival().await.stream();
+        stream.send_events(1..=last).await;
         stream
     });
     let mut reader = ResponseReader::new(answer);
@@ -37,16 +37,16 @@
     Running { daemon, reader, stream, from, to }
 }
 
-/// Answers the first copy and hands out the order for the last one.
+/// Answers the first copy command and returns the final one.
 async fn last_copy(from: &mut FakeEndpoint) -> PendingCopy {
-    let first = from.copy().await;
+    let first = from.next_copy().await;
     assert!(!first.last);
     first.answer(200, "h1");
-    from.copy().await
+    from.next_copy().await
 }
 
 #[gtest]
-fn a_generation_goes_on_where_its_copy_lies() {
+fn generation_resumes_on_target() {
     run_test(async {
         let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
@@ -54,34 +54,35 @@
         let (whole, (after, memory, asked)) = join!(reader.read_rest(), async {
             let last = last_copy(&mut from).await;
             let asked = (last.id.clone(), last.last);
-            stream.events([4]).await;
-            stream.end();
+            stream.send_events([4]).await;
+            stream.finish();
             last.answer(200, "h2");
-            let arrival = to.arrival().await;
-            // Event 4 may still have been on its way when the generation went on.
-            let (after, memory) = (arrival.after.unwrap_or_default(), arrival.memory.clone());
+            let arrival = to.next_arrival().await;
+            // Event 4 may not have been read yet when the generation resumes.
+            let (after, memory) =
+                (arrival.last_event_id.unwrap_or_default(), arrival.kv_copy.clone());
             arrival.stream_all(after + 1..=7).await;
             (after, memory, asked)
         });
 
-        let memory_at = KvCopy { source: from.address(), handle: "h2".to_owned() };
+        let expected_copy = KvCopy { source: from.address(), handle: "h2".to_owned() };
         expect_that!(asked, eq(&("r1".to_owned(), true)));
         expect_that!(after, ge(3));
-        expect_that!(memory, some(eq(&memory_text(&memory_at))));
+        expect_that!(memory, some(eq(&kv_copy_header(&expected_copy))));
         expect_that!(whole, ok(eq(&events_to(7))));
     });
 }
 
 #[gtest]
-fn one_whose_copy_is_refused_runs_on_where_it_is() {
+fn refused_copy_leaves_generation_on_source() {
     run_test(async {
         let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
 
         let (whole, ()) = join!(reader.read_rest(), async {
-            from.copy().await.answer(503, "");
-            stream.events(4..=6).await;
-            stream.end();
+            from.next_copy().await.answer(503, "");
+            stream.send_events(4..=6).await;
+            stream.finish();
         });
 
         expect_that!(whole, ok(eq(&events_to(6))));
@@ -90,17 +91,17 @@
 }
 
 #[gtest]
-fn one_that_the_target_refuses_goes_on_at_its_source() {
+fn rejection_by_target_resumes_on_source() {
     run_test(async {
         let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
 
         let (whole, after) = join!(reader.read_rest(), async {
             let last = last_copy(&mut from).await;
-            stream.end();
+            stream.finish();
             last.answer(200, "h2");
-            to.arrival().await.reject_unexecuted("full");
-            from.arrival().await.stream_all(4..=6).await
+            to.next_arrival().await.reject_unexecuted("full");
+            from.next_arrival().await.stream_all(4..=6).await
         });
 
         expect_that!(after, some(eq(3)));
@@ -109,38 +110,38 @@
 }
 
 #[gtest]
-fn one_that_stopped_without_a_copy_goes_on_at_its_source() {
+fn failed_final_copy_resumes_on_source() {
     run_test(async {
         let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
 
         let (whole, memory) = join!(reader.read_rest(), async {
             let last = last_copy(&mut from).await;
-            stream.end();
+            stream.finish();
             last.answer(503, "h2");
-            let arrival = from.arrival().await;
-            let memory = arrival.memory.clone();
+            let arrival = from.next_arrival().await;
+            let memory = arrival.kv_copy.clone();
             arrival.stream_all(4..=5).await;
             memory
         });
 
-        let memory_at = KvCopy { source: from.address(), handle: "h2".to_owned() };
-        expect_that!(memory, some(eq(&memory_text(&memory_at))));
+        let expected_copy = KvCopy { source: from.address(), handle: "h2".to_owned() };
+        expect_that!(memory, some(eq(&kv_copy_header(&expected_copy))));
         expect_that!(whole, ok(eq(&events_to(5))));
         expect_true!(to.is_idle());
     });
 }
 
 #[gtest]
-fn one_that_ends_while_it_is_copied_is_whole() {
+fn generation_may_complete_during_copy() {
     run_test(async {
         let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
 
         let (whole, ()) = join!(reader.read_rest(), async {
             let last = last_copy(&mut from).await;
-            stream.events(4..=5).await;
-            stream.end();
+            stream.send_events(4..=5).await;
+            stream.finish();
             last.answer(404, "");
         });
 
@@ -150,7 +151,7 @@
 }
 
 #[gtest]
-fn one_that_is_lost_while_it_is_copied_does_not_look_complete() {
+fn generation_lost_during_copy_is_aborted() {
     run_test(async {
         let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
@@ -167,34 +168,34 @@
 }
 
 #[gtest]
-fn the_end_of_its_engine_while_it_is_copied_is_looked_into() {
+fn source_crash_during_copy_is_probed() {
     run_test(async {
         let Running { daemon, reader, stream, mut from, to: _to } = running("/chat/", 3).await;
 
         let (whole, ()) = join!(reader.read_rest(), async {
             let last = last_copy(&mut from).await;
-            from.end().await;
+            from.shut_down().await;
             stream.abort().await;
             last.answer(404, "");
         });
 
         expect_that!(whole, err(anything()));
-        daemon.wait_for_metric(&broken_off("engines", "ended"), 1).await;
+        daemon.wait_for_metric(&failed_attempts_metric("engines", "ended"), 1).await;
     });
 }
 
 #[gtest]
-fn the_whole_answer_comes_also_when_the_events_were_cut_in_the_middle() {
+fn partial_event_before_resume_is_discarded() {
     run_test(async {
         let Running { daemon: _entry, reader, stream, mut from, mut to } =
             running("/chat/", 3).await;
 
         let (whole, after) = join!(reader.read_rest(), async {
             let last = last_copy(&mut from).await;
-            stream.bytes("id: 4\ndata: tok").await;
+            stream.send_bytes("id: 4\ndata: tok").await;
             stream.abort().await;
             last.answer(200, "h2");
-            to.arrival().await.stream_all(4..=6).await
+            to.next_arrival().await.stream_all(4..=6).await
         });
 
         expect_that!(after, some(eq(3)));
--- a/crates/server/src/relay/tests/protocol.rs
+++ b/crates/server/src/relay/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! A protocol for tests, as plain as can be: one header for each thing that is told.
+//! A minimal protocol for tests, with one header per value.
 
 use std::{str::FromStr, time::SystemTime};
 
@@ -15,47 +15,47 @@
     Reservation, ReservationReply, ResponseClass,
 };
 
-/// The request's id, in requests and their answers.
+/// The request id, in requests and responses.
 pub(super) const ID: &str = "x-id";
-/// The endpoint that the request is for.
+/// The endpoint that an attempt is for.
 pub(super) const ENDPOINT: &str = "x-endpoint";
-/// The last event that is known.
-pub(super) const AFTER: &str = "x-after";
-/// Where the memory of a generation lies, as ADDRESS/HANDLE.
-pub(super) const MEMORY: &str = "x-memory";
-/// Why an endpoint turned a request away: `full` or `other`.
-pub(super) const NOT_RUN: &str = "x-not-run";
-/// Requests a second that the endpoint takes.
+/// The last event received.
+pub(super) const LAST_EVENT: &str = "x-after";
+/// A KV cache copy, as ADDRESS/HANDLE.
+pub(super) const KV_COPY: &str = "x-memory";
+/// Why a request was not executed: `full` or `other`.
+pub(super) const NOT_EXECUTED: &str = "x-not-run";
+/// Rate limit of the endpoint, in requests per second.
 pub(super) const LIMIT: &str = "x-limit";
-/// Seconds for which a rejecting endpoint wants nothing from the daemon.
+/// Back-off in seconds.
 pub(super) const RETRY_AFTER: &str = "x-retry-after";
-/// Given by an endpoint that is about to end.
+/// Present if the endpoint is leaving.
 pub(super) const LEAVING: &str = "x-leaving";
-/// The outcome that a caller is told where no endpoint answered.
+/// Error code of a response without an endpoint's response.
 pub(super) const OUTCOME: &str = "x-outcome";
-/// Path of the orders to copy.
+/// Path of copy commands.
 pub(super) const COPY_PATH: &str = "/copy";
-/// Path under which a copy is freed by its name.
+/// Path prefix under which copies are freed.
 pub(super) const FREE_PATH: &str = "/free/";
 
-/// Path of the question for an engine's load.
+/// Path of load requests.
 pub(super) const LOAD_PATH: &str = "/load";
-/// Path of the question for a place.
-pub(super) const RESERVE_PATH: &str = "/reserve";
-/// The name of the place that an engine keeps.
+/// Path of reservation requests.
+pub(super) const RESERVATION_PATH: &str = "/reserve";
+/// Id of a reservation.
 pub(super) const RESERVATION: &str = "x-reservation";
 
-/// Memory of every engine, in tokens.
-pub(super) const ENGINE_MEMORY: u64 = 34_000;
+/// KV cache size of every engine, in tokens.
+pub(super) const ENGINE_KV_TOKENS: u64 = 34_000;
 /// Tokens of every prompt.
 const PROMPT_TOKENS: u64 = 1_000;
-/// Most tokens of every answer.
-const MAX_OUTPUT: u64 = 2_000;
+/// Maximum output tokens of every generation.
+const MAX_OUTPUT_TOKENS: u64 = 2_000;
 
-/// The protocol of tests.
+/// The protocol used by tests.
 pub(super) struct TestProtocol;
 
-/// The value of a header, if it is given and can be read.
+/// The parsed value of a header, if present and valid.
 pub(super) fn header<T: FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
@@ -71,10 +71,10 @@
             host: header(&head.headers, header::HOST.as_str()).unwrap_or_default(),
             prompt: Some(Prompt {
                 tokens: PROMPT_TOKENS,
-                max_output_tokens: MAX_OUTPUT,
+                max_output_tokens: MAX_OUTPUT_TOKENS,
                 ..Prompt::default()
             }),
-            last_event_id: header(&head.headers, AFTER),
+            last_event_id: header(&head.headers, LAST_EVENT),
             ..CallerRequest::default()
         })
     }
@@ -87,10 +87,10 @@
         set(ID, header(&head.headers, ID).unwrap_or_default());
         set(ENDPOINT, attempt.endpoint.to_owned());
         if let Some(last_event_id) = attempt.last_event_id {
-            set(AFTER, last_event_id.to_string());
+            set(LAST_EVENT, last_event_id.to_string());
         }
         if let Some(copy) = attempt.kv_copy {
-            set(MEMORY, format!("{}/{}", copy.source, copy.handle));
+            set(KV_COPY, format!("{}/{}", copy.source, copy.handle));
         }
         if let Some(reservation) = attempt.reservation {
             set(RESERVATION, reservation.to_owned());
@@ -102,7 +102,7 @@
         if header::<String>(&head.headers, ID).as_deref() != Some(id) {
             return ResponseClass::Invalid("the answer is for another request");
         }
-        match header::<String>(&head.headers, NOT_RUN).as_deref() {
+        match header::<String>(&head.headers, NOT_EXECUTED).as_deref() {
             Some("full") => ResponseClass::Rejected(RejectionReason::Overloaded),
             Some(_) => ResponseClass::Rejected(RejectionReason::WrongEndpoint),
             None => ResponseClass::Executed { success: head.status.is_success() },
@@ -148,15 +148,15 @@
         Request::get(LOAD_PATH).body(Full::default()).unwrap()
     }
 
-    /// A load is told as the tokens in memory.
+    /// The load is the KV cache usage in tokens.
     fn decode_load(&self, _: &response::Parts, body: &[u8]) -> Option<EngineLoad> {
         let kv_used = std::str::from_utf8(body).ok()?.parse().ok()?;
-        Some(EngineLoad { kv_used, kv_tokens: ENGINE_MEMORY, ..EngineLoad::default() })
+        Some(EngineLoad { kv_used, kv_tokens: ENGINE_KV_TOKENS, ..EngineLoad::default() })
     }
 
     fn reservation_request(&self, reservation: &Reservation) -> Request<Full<Bytes>> {
         let tokens = reservation.tokens;
-        Request::post(format!("{RESERVE_PATH}/{tokens}")).body(Full::default()).unwrap()
+        Request::post(format!("{RESERVATION_PATH}/{tokens}")).body(Full::default()).unwrap()
     }
 
     fn decode_reservation(&self, head: &response::Parts, body: &[u8]) -> ReservationReply {
@@ -179,7 +179,7 @@
     }
 }
 
-/// The text of [`MEMORY`].
-pub(super) fn memory_text(copy: &KvCopy) -> String {
+/// The value of the [`KV_COPY`] header.
+pub(super) fn kv_copy_header(copy: &KvCopy) -> String {
     format!("{}/{}", copy.source, copy.handle)
 }
--- a/crates/server/src/relay/tests/response.rs
+++ b/crates/server/src/relay/tests/response.rs
@@ -1,4 +1,4 @@
-//! Answers as their callers read them.
+//! Responses as their callers read them.
 
 use super::{
     fake_endpoint::event,
@@ -6,27 +6,27 @@
 };
 use crate::upstream::{AnswerBody, OpenAnswer};
 
-/// Longest answer in a test, in bytes.
+/// Largest response in a test, in bytes.
 const MAX_TEXT: usize = 1024 * 1024;
 
-/// The whole text of an answer, or what became of it.
+/// The complete body of a response, or the error that ended it.
 pub(super) async fn text(answer: OpenAnswer) -> Result<String, String> {
     ResponseReader::new(answer).read_rest().await
 }
 
-/// A streamed answer as its caller reads it.
+/// Reads a streamed response.
 pub(super) struct ResponseReader {
     body: AnswerBody,
     text: String,
 }
 
 impl ResponseReader {
-    /// An answer of which only the head was read.
+    /// A response of which only the head was read.
     pub(super) fn new(answer: OpenAnswer) -> ResponseReader {
         ResponseReader { body: answer.body, text: String::new() }
     }
 
-    /// Reads until the event of this id has come.
+    /// Reads until the event of this id has been received.
     pub(super) async fn read_to(&mut self, id: u64) {
         while !self.text.contains(&event(id)) {
             let bytes = self.body.next().await.expect("the answer goes on").unwrap();
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Reads on to the end; returns the whole text unless the answer was cut.
+    /// Reads to the end; returns the complete body, or an error if the response was aborted.
     pub(super) async fn read_rest(mut self) -> Result<String, String> {
         let rest = self.body.collect(MAX_TEXT).await?;
         self.text += std::str::from_utf8(&rest).unwrap();
@@ -42,7 +42,7 @@
     }
 }
 
-/// The outcome that the entry told, where it answered itself.
+/// The error code set by the daemon, if it did not forward an endpoint's response.
 pub(super) fn outcome(answer: &OpenAnswer) -> Option<String> {
     header(&answer.head.headers, OUTCOME)
 }
--- a/crates/server/src/relay/tests/startup.rs
+++ b/crates/server/src/relay/tests/starting.rs
@@ -1,4 +1,4 @@
-//! Requests that come before a daemon has its configuration.
+//! Requests to a daemon that has no configuration yet.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 const LONG: Duration = Duration::from_secs(120);
 
 #[gtest]
-fn a_call_waits_for_a_daemon_that_has_just_started() {
+fn call_waits_for_initial_configuration() {
     run_test(async {
         let daemon = TestDaemon::start(LONG);
 
@@ -23,7 +23,7 @@
             daemon.wait_for_connection().await;
             daemon.configure().await;
             let mut endpoint = daemon.register("desk", "e1").await;
-            endpoint.arrival().await.answer(200, "done");
+            endpoint.next_arrival().await.answer(200, "done");
         });
 
         expect_that!(text(answer).await, ok(eq("done")));
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn a_call_is_refused_at_once_when_a_configuration_is_not_to_be_expected() {
+fn call_is_refused_after_recovery_timeout() {
     run_test(async {
         let daemon = TestDaemon::start(Duration::ZERO);
 
--- a/crates/server/src/relay/tests/suspension.rs
+++ b/crates/server/src/relay/tests/suspended.rs
@@ -1,7 +1,7 @@
-//! A VM that is suspended: no promise that a time guards holds longer for it.
+//! Suspended VMs: timeouts and freshness bounds include the time of the suspension.
 //!
-//! The steady clock stands still meanwhile. Measured by it, a configuration that was confirmed before the
-//! suspension still counts as current after it, and a key that was taken away meanwhile runs requests.
+//! Guards against using a monotonic clock that stops during suspension, which would serve requests
+//! with a stale configuration or a revoked key.
 
 use std::time::Duration;
 
@@ -15,12 +15,12 @@
     test_daemon::{TestDaemon, run_test},
 };
 
-/// An entry whose configuration was confirmed once, and will not be again.
+/// A daemon whose configuration was confirmed once and will not be again.
 async fn confirmed_once() -> TestDaemon {
     TestDaemon::confirmed_once(Duration::ZERO).await
 }
 
-/// An engine with much room.
+/// An engine with free KV cache.
 async fn engine(daemon: &TestDaemon, name: &str) -> FakeEndpoint {
     let engine = daemon.register("engines", name).await;
     engine.set_capacity(0, true);
@@ -28,7 +28,7 @@
 }
 
 #[gtest]
-fn a_request_that_comes_after_it_runs_nowhere() {
+fn request_after_suspension_is_refused() {
     run_test(async {
         let daemon = confirmed_once().await;
         let mut desk = daemon.register("desk", "e1").await;
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn callers_are_not_sent_to_it_before_it_is_up_to_date_again() {
+fn daemon_is_unready_after_suspension() {
     run_test(async {
         let daemon = confirmed_once().await;
         let before = daemon.is_ready();
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn a_generation_that_waited_for_a_place_runs_nowhere() {
+fn queued_generation_is_refused_after_suspension() {
     run_test(async {
         let daemon = confirmed_once().await;
 
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn a_call_that_failed_meanwhile_is_not_sent_again() {
+fn failed_call_is_not_retried_after_suspension() {
     run_test(async {
         let daemon = confirmed_once().await;
         let mut e1 = daemon.register("desk", "e1").await;
@@ -81,8 +81,8 @@
 
         let (answer, ()) = join!(daemon.send("/again/x", "r1"), async {
             let arrival = tokio::select! {
-                arrival = e1.arrival() => arrival,
-                arrival = e2.arrival() => arrival,
+                arrival = e1.next_arrival() => arrival,
+                arrival = e2.next_arrival() => arrival,
             };
             daemon.suspend();
             arrival.answer(500, "failed");
@@ -94,18 +94,18 @@
 }
 
 #[gtest]
-fn a_summary_that_was_cut_meanwhile_does_not_go_on_elsewhere() {
+fn interrupted_generation_is_not_resumed_after_suspension() {
     run_test(async {
         let daemon = confirmed_once().await;
         let mut e1 = engine(&daemon, "e1").await;
         let mut e2 = engine(&daemon, "e2").await;
         let (answer, stream) = join!(daemon.send("/recap/", "r1"), async {
             let arrival = tokio::select! {
-                arrival = e1.arrival() => arrival,
-                arrival = e2.arrival() => arrival,
+                arrival = e1.next_arrival() => arrival,
+                arrival = e2.next_arrival() => arrival,
             };
             let stream = arrival.stream();
-            stream.events(1..=2).await;
+            stream.send_events(1..=2).await;
             stream
         });
         let mut reader = ResponseReader::new(answer);
@@ -120,17 +120,17 @@
 }
 
 #[gtest]
-fn a_generation_that_runs_goes_on() {
+fn running_generation_survives_suspension() {
     run_test(async {
         let daemon = confirmed_once().await;
         let mut engine = engine(&daemon, "e1").await;
 
         let (answer, ()) = join!(daemon.send("/chat/", "r1"), async {
-            let stream = engine.arrival().await.stream();
-            stream.events(1..=2).await;
+            let stream = engine.next_arrival().await.stream();
+            stream.send_events(1..=2).await;
             daemon.suspend();
-            stream.events(3..=3).await;
-            stream.end();
+            stream.send_events(3..=3).await;
+            stream.finish();
         });
 
         expect_that!(text(answer).await, ok(eq(&events_to(3))));
@@ -138,14 +138,14 @@
 }
 
 #[gtest]
-fn a_request_whose_time_is_over_is_answered_at_once() {
+fn deadline_expires_during_suspension() {
     run_test(async {
         let daemon = confirmed_once().await;
         let mut desk = daemon.register("desk", "e1").await;
 
         let (answer, arrival) = join!(daemon.send("/once/x", "r1"), async {
-            let arrival = desk.arrival().await;
-            // As long as the route lets a request take.
+            let arrival = desk.next_arrival().await;
+            // The timeout of the route.
             trayswitch_clock::suspend(Duration::from_secs(600));
             arrival
         });
@@ -156,14 +156,14 @@
 }
 
 #[gtest]
-fn a_daemon_that_leads_serves_again_once_it_has_confirmed_anew() {
+fn leader_serves_again_after_confirming_config() {
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut desk = daemon.register("desk", "e1").await;
 
         daemon.suspend();
         let (answer, ()) = join!(daemon.send("/once/x", "r1"), async {
-            desk.arrival().await.answer(200, "done");
+            desk.next_arrival().await.answer(200, "done");
         });
 
         expect_that!(text(answer).await, ok(eq("done")));
--- a/crates/server/src/relay/tests/test_daemon.rs
+++ b/crates/server/src/relay/tests/test_daemon.rs
@@ -1,4 +1,4 @@
-//! A whole entry for tests: a node that leads a group of its own, a relay and its listener.
+//! A daemon for tests: a node that leads a single-member group, a relay and its listener.
 
 use std::{
     cell::RefCell,
@@ -35,7 +35,7 @@
     upstream::{OpenAnswer, exchange},
 };
 
-/// Targets are so long that no hedge and no give-up comes into a test by time.
+/// Targets are long enough that no hedge or timeout occurs by chance.
 const CONFIG: &str = "
 [deployment]
 name = test
@@ -110,48 +110,47 @@
 public = yes
 tier = all
 ";
-/// Longest wait for anything in a test, and how long a configuration holds that was confirmed; only a
-/// fault reaches it.
+/// Timeout of all waits and freshness bound of the configuration; reached only on a failure.
 pub(super) const LIMIT: Duration = Duration::from_secs(60);
 const HALL: &str = "hall-1";
-/// The entry's VM, and that of a control VM which nobody plays.
+/// The VMs of the daemon and of a control VM that is not running.
 const VM: &str = "127.0.0.1";
 const CONTROL: &str = "127.0.0.2";
-/// Random number of every daemon.
+/// Random seed of every daemon.
 const SEED: u64 = 1;
 
-/// Name of the counter of a service's attempts that broke off at endpoints of which this was found.
-pub(super) fn broken_off(service: &str, endpoint: &str) -> String {
+/// The counter of a service's failed attempts by probe result.
+pub(super) fn failed_attempts_metric(service: &str, endpoint: &str) -> String {
     format!("trayswitch_attempts_broken_off_total{{endpoint=\"{endpoint}\",service=\"{service}\"}}")
 }
 
-/// Runs a test on the local tasks of one thread. One that waits for what never comes fails.
+/// Runs a test on a single-threaded runtime; fails if it hangs.
 pub(super) fn run_test<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let bounded = async { tokio::time::timeout(LIMIT, test).await.expect("the test goes on") };
     let result = LocalSet::new().block_on(&runtime, bounded);
     drop(runtime);
-    DATA_FOLDERS.take().iter().for_each(|folder| remove_when_closed(folder));
+    DATA_FOLDERS.take().iter().for_each(|folder| remove_when_unlocked(folder));
     result
 }
 
 thread_local! {
-    /// Data folders of the entries that the current test has started.
+    /// Data folders of the daemons that the current test has started.
     static DATA_FOLDERS: RefCell<Vec<PathBuf>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Removes a data folder once its daemon, which ends with the test's tasks, has let it go: a
-/// daemon whose folder disappears ends the whole process.
-fn remove_when_closed(folder: &Path) {
+/// Removes a data folder once its daemon has released the lock. A daemon whose folder disappears
+/// aborts the process.
+fn remove_when_unlocked(folder: &Path) {
     let lock = File::open(folder.join("lock")).unwrap();
     while lock.try_lock().is_err() {
         thread::yield_now();
     }
-    // What is left behind lies in the system's folder for such files.
+    // Leftovers are in the temporary directory.
     let _ = fs::remove_dir_all(folder);
 }
 
-/// An entry with its configuration in force.
+/// A daemon with a relay and its listener.
 pub(super) struct TestDaemon {
     node: NodeHandle,
     server: Server,
@@ -159,7 +158,7 @@
 }
 
 impl TestDaemon {
-    /// Starts an entry and waits until it is ready.
+    /// Starts a daemon and waits until it is ready.
     pub(super) async fn open() -> TestDaemon {
         let daemon = TestDaemon::start(LIMIT);
         daemon.configure().await;
@@ -167,17 +166,17 @@
         daemon
     }
 
-    /// Starts an entry without a configuration. Requests wait this long for one.
+    /// Starts a daemon without a configuration. Requests wait this long for one.
     pub(super) fn start(config_recovery_timeout: Duration) -> TestDaemon {
         TestDaemon::spawn(runtime_options(Some(new_folder())), config_recovery_timeout)
     }
 
-    /// An entry that has its configuration from a control VM which can no longer be reached.
+    /// A daemon that got its configuration from a control VM which is now unreachable.
     pub(super) async fn without_scheduler() -> TestDaemon {
         TestDaemon::confirmed_once(LIMIT).await
     }
 
-    /// The same; requests wait this long for a configuration that is known to be current.
+    /// The same, with the time that requests wait for a current configuration.
     pub(super) async fn confirmed_once(config_recovery_timeout: Duration) -> TestDaemon {
         let daemon = TestDaemon::spawn(runtime_options(None), config_recovery_timeout);
         daemon.confirm_config_once();
@@ -185,14 +184,14 @@
         daemon
     }
 
-    /// Plays the part of a leader that links, brings the configuration into force and is gone.
+    /// Simulates a leader that connects, replicates the configuration and disconnects.
     fn confirm_config_once(&self) {
         let leader: VmName = CONTROL.into();
         let document = Document::parse("test.ini", CONFIG).unwrap();
         let hash = Bytes::copy_from_slice(&document.content_hash().0);
         let delta = EncodedDelta::write(&Document::default().delta_to(&document));
         let reply = PollReply {
-            // The first poll of a daemon has the number after its seed.
+            // A daemon's first poll has the nonce after its seed.
             nonce: SEED + 1,
             version: 1,
             hash: hash.clone(),
@@ -227,7 +226,7 @@
         TestDaemon { node, server, metrics }
     }
 
-    /// Brings the configuration into force.
+    /// Commits the configuration.
     pub(super) async fn configure(&self) {
         let document = Document::parse("test.ini", CONFIG).unwrap();
         let checked = CheckedDocument::new("test.ini", document).unwrap();
@@ -235,28 +234,28 @@
         self.wait_until(|| self.node.view().active_config().is_some()).await;
     }
 
-    /// Suspends the VM for longer than a configuration holds.
+    /// Suspends the VM for longer than the configuration stays current.
     pub(super) fn suspend(&self) {
         trayswitch_clock::suspend(LIMIT);
     }
 
-    /// Whether callers are sent here.
+    /// Whether the readiness check passes.
     pub(super) fn is_ready(&self) -> bool {
         self.node.look_whether_suspended();
         self.node.view().ready()
     }
 
-    /// Returns once a caller has connected.
+    /// Waits until a caller has connected.
     pub(super) async fn wait_for_connection(&self) {
         self.wait_until(|| 0 < self.server.open()).await;
     }
 
-    /// Returns once no caller is connected and nothing is done for any.
+    /// Waits until no caller is connected and no request is in progress.
     pub(super) async fn wait_until_idle(&self) {
         self.wait_until(|| self.server.open() == 0 && self.in_progress() == 0).await;
     }
 
-    /// Returns once so many requests are in progress.
+    /// Waits until `count` requests are in progress.
     pub(super) async fn wait_for_in_progress(&self, count: u64) {
         self.wait_until(|| self.in_progress() == count).await;
     }
@@ -265,20 +264,20 @@
         self.metric("trayswitch_requests_in_progress").unwrap()
     }
 
-    /// Returns once this metric stands at so much.
+    /// Waits until a metric has this value.
     pub(super) async fn wait_for_metric(&self, name: &str, count: u64) {
         self.wait_until(|| self.metric(name) == Some(count)).await;
     }
 
-    /// A metric by its name and labels, if it has been counted.
+    /// The value of a metric by name and labels, if it exists.
     pub(super) fn metric(&self, name: &str) -> Option<u64> {
         let text = self.metrics.text().unwrap();
         let line = text.lines().find(|line| line.split(' ').next() == Some(name));
         line.and_then(|line| line.split(' ').next_back()?.parse().ok())
     }
 
-    /// Requests that the scheduler takes for running, at all engines together.
-    pub(super) async fn running(&self) -> u64 {
+    /// Requests that the scheduler counts as running, on all engines.
+    pub(super) async fn running_requests(&self) -> u64 {
         let call = self.node.view().next_call();
         match self.node.ask(call, NodeCall::Endpoints, LIMIT).await {
             Some(NodeReply::Endpoints(endpoints)) => endpoints.iter().map(|e| e.running).sum(),
@@ -286,12 +285,12 @@
         }
     }
 
-    /// An endpoint of a service that has registered itself, once requests know of it.
+    /// Registers an endpoint and waits until it can be selected.
     pub(super) async fn register(&self, service: &str, name: &str) -> FakeEndpoint {
         self.register_with_slots(service, name, 48).await
     }
 
-    /// The same with so many places.
+    /// The same, with a number of slots.
     pub(super) async fn register_with_slots(
         &self,
         service: &str,
@@ -305,7 +304,7 @@
         endpoint
     }
 
-    /// Another run of an endpoint has started under its name.
+    /// Registers a new run of an endpoint under the same name.
     pub(super) async fn restart_endpoint(&self, service: &str, name: &str) -> FakeEndpoint {
         let endpoint = FakeEndpoint::open();
         let record = heartbeat(service, name, &endpoint);
@@ -315,14 +314,14 @@
         endpoint
     }
 
-    /// Takes an endpoint's word that it will end; returns once requests know of it.
+    /// Announces that an endpoint is leaving; waits until it is closed to new requests.
     pub(super) async fn announce_leaving(&self, name: &str) {
         self.node.input(Input::EndpointDeregistered(name.into()));
         self.wait_until(|| self.is_open(name) == Some(false)).await;
     }
 
-    /// Takes the endpoints' data hall out of service or gives it back; returns once requests know of
-    /// it, by the endpoint of this name.
+    /// Takes the endpoints' data hall out of service or puts it back; waits until the endpoint
+    /// `name` reflects this.
     pub(super) async fn set_hall_out(&self, out: bool, name: &str) {
         self.node.order_hall(HALL, out, LIMIT).await.expect("the order is answered");
         self.wait_until(|| self.is_open(name) == Some(!out)).await;
@@ -332,14 +331,14 @@
         self.node.view().endpoint(name).map(|endpoint| endpoint.open)
     }
 
-    /// Lets everything else go on until this is so.
-    async fn wait_until(&self, is_so: impl Fn() -> bool) {
-        while !is_so() {
+    /// Yields to other tasks until `condition` holds.
+    async fn wait_until(&self, condition: impl Fn() -> bool) {
+        while !condition() {
             tokio::task::yield_now().await;
         }
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     pub(super) async fn send(&self, path: &str, id: &str) -> OpenAnswer {
         let req = Request::post(path).header(http::header::HOST, "host").header(ID, id);
         let req = req.body(Full::default()).unwrap();
@@ -348,8 +347,7 @@
     }
 }
 
-/// A daemon that leads a group of its own, or one without a data folder that has it from another.
-/// What an endpoint with 48 places says first of itself.
+/// The first heartbeat of an endpoint with 48 slots.
 fn heartbeat(service: &str, name: &str, endpoint: &FakeEndpoint) -> EndpointRecord {
     EndpointRecord {
         id: name.to_owned(),
--- a/crates/server/src/relay/tests/local_placement.rs
+++ b/crates/server/src/relay/tests/unscheduled.rs
@@ -1,29 +1,29 @@
-//! Generations while no scheduler answers.
+//! Placement of generations without a scheduler.
 
 use googletest::prelude::*;
 use tokio::join;
 
 use super::{
     fake_endpoint::{events_to, next_arrival_at},
-    protocol::ENGINE_MEMORY,
+    protocol::ENGINE_KV_TOKENS,
     response::text,
     test_daemon::{TestDaemon, run_test},
 };
 
-/// Tokens in memory that leave room for a prompt and not much more.
-const TIGHT: u64 = ENGINE_MEMORY / 4 * 3;
+/// KV cache usage that leaves room for little more than a prompt.
+const TIGHT: u64 = ENGINE_KV_TOKENS / 4 * 3;
 
 #[gtest]
-fn an_engine_with_much_room_is_asked_for_no_place() {
+fn no_reservation_on_engine_with_free_memory() {
     run_test(async {
         let daemon = TestDaemon::without_scheduler().await;
         let mut engine = daemon.register("engines", "e1").await;
-        engine.set_capacity(ENGINE_MEMORY / 4, true);
+        engine.set_capacity(ENGINE_KV_TOKENS / 4, true);
 
         let (answer, reservation) = join!(daemon.send("/chat/", "r1"), async {
-            let arrival = engine.arrival().await;
+            let arrival = engine.next_arrival().await;
             let reservation = arrival.reservation.clone();
-            arrival.stream().end();
+            arrival.stream().finish();
             reservation
         });
 
@@ -34,7 +34,7 @@
 }
 
 #[gtest]
-fn the_engine_with_more_room_keeps_a_place_and_gets_the_generation() {
+fn less_loaded_engine_grants_reservation() {
     run_test(async {
         let daemon = TestDaemon::without_scheduler().await;
         let mut roomy = daemon.register("engines", "e1").await;
@@ -43,24 +43,24 @@
         crowded.set_capacity(TIGHT + 4_000, true);
 
         let (answer, reservation) = join!(daemon.send("/chat/", "r1"), async {
-            let arrival = roomy.arrival().await;
+            let arrival = roomy.next_arrival().await;
             let reservation = arrival.reservation.clone();
             let stream = arrival.stream();
-            stream.events(1..=3).await;
-            stream.end();
+            stream.send_events(1..=3).await;
+            stream.finish();
             reservation
         });
 
         expect_that!(text(answer).await, ok(eq(&events_to(3))));
         expect_that!(reservation, some(eq("kept")));
-        // The prompt of 1,000 tokens and the begin of the answer.
+        // The prompt of 1,000 tokens plus the initial output.
         expect_that!(roomy.reserved_tokens(), elements_are![gt(&1_000)]);
         expect_that!(crowded.reserved_tokens(), is_empty());
     });
 }
 
 #[gtest]
-fn a_generation_goes_where_a_place_is_kept_when_the_better_engine_has_none() {
+fn second_engine_is_used_if_first_denies_reservation() {
     run_test(async {
         let daemon = TestDaemon::without_scheduler().await;
         let mut e1 = daemon.register("engines", "e1").await;
@@ -68,24 +68,24 @@
         e1.set_capacity(TIGHT, false);
         e2.set_capacity(TIGHT + 4_000, true);
 
-        let (answer, meant_for) = join!(daemon.send("/chat/", "r1"), async {
+        let (answer, endpoint_id) = join!(daemon.send("/chat/", "r1"), async {
             let arrival = next_arrival_at(&mut e1, &mut e2).await;
-            let meant_for = arrival.meant_for.clone();
-            arrival.stream().end();
-            meant_for
+            let endpoint_id = arrival.endpoint_id.clone();
+            arrival.stream().finish();
+            endpoint_id
         });
 
         expect_that!(text(answer).await, ok(eq("")));
-        expect_that!(meant_for, eq("e2"));
+        expect_that!(endpoint_id, eq("e2"));
     });
 }
 
 #[gtest]
-fn nothing_is_sent_to_engines_without_room_and_a_place_is_looked_for_again() {
+fn placement_is_polled_while_engines_are_full() {
     run_test(async {
         let daemon = TestDaemon::without_scheduler().await;
         let mut engine = daemon.register("engines", "e1").await;
-        engine.set_capacity(ENGINE_MEMORY, false);
+        engine.set_capacity(ENGINE_KV_TOKENS, false);
 
         let (answer, idle) = join!(daemon.send("/chat/", "r1"), async {
             while engine.reserved_tokens().len() < 3 {
@@ -93,7 +93,7 @@
             }
             let idle = engine.is_idle();
             engine.set_capacity(0, true);
-            engine.arrival().await.stream().end();
+            engine.next_arrival().await.stream().finish();
             idle
         });
 
