--- a/crates/server/src/relay/call.rs
+++ b/crates/server/src/relay/call.rs
@@ -14,8 +14,8 @@
 };
 
 use super::{
-    Job, MAX_REJECTIONS, RejectionReason, Relay, ResponseClass, ended::AttemptGuard,
-    job::ResumeFrom, loads::Outcome, no_response_error, quarantine_turn::QuarantineTurn,
+    Job, MAX_REJECTIONS, RejectionReason, Relay, ResponseClass, failed_attempt::AttemptGuard,
+    job::ResumeFrom, load_balancer::Outcome, no_response_error, quarantine_turn::QuarantineTurn,
     rate_limit::AttemptKind,
 };
 use crate::{
--- a/crates/server/src/relay/generation.rs
+++ b/crates/server/src/relay/generation.rs
@@ -16,13 +16,13 @@
 
 use super::{
     Job, MAX_REJECTIONS, RejectionReason, Relay, ResponseClass,
-    ended::AttemptGuard,
+    event_stream::{EventStream, StreamItem},
+    failed_attempt::AttemptGuard,
     job::ResumeFrom,
+    local_placement::{NoCapacity, confirm_placement},
     no_response_error,
     quarantine_turn::QuarantineTurn,
-    source::{EventStream, StreamItem},
     stream::StreamForwarder,
-    unscheduled::{NoCapacity, confirm_placement},
 };
 use crate::{
     edge::{self, Body},
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -6,23 +6,23 @@
 
 mod admission;
 mod backoff;
-mod budget;
 mod call;
-mod ended;
+mod event_stream;
+mod failed_attempt;
 mod generation;
 mod job;
 mod latency;
-mod loads;
-mod moves;
+mod load_balancer;
+mod local_placement;
 mod protocol;
 mod quarantine_turn;
 mod rate_limit;
+mod relocation;
+mod retry_budget;
 mod signals;
-mod source;
 mod stream;
 #[cfg(test)]
 mod tests;
-mod unscheduled;
 
 use std::{
     cell::{Cell, RefCell},
@@ -44,18 +44,18 @@
 };
 
 use self::{
-    budget::RetryBudget,
-    ended::MAX_WATCHED_ENDPOINTS,
+    failed_attempt::MAX_WATCHED_ENDPOINTS,
     job::Job,
     latency::LatencyEstimate,
-    loads::{ColdStartPolicy, LoadBalancer},
+    load_balancer::{ColdStartPolicy, LoadBalancer},
+    retry_budget::RetryBudget,
 };
 pub use self::{
+    local_placement::Reservation,
     protocol::{
         Attempt, CallerRequest, CopyCommand, CopyReply, KvCopy, Prompt, Protocol, RejectionReason,
         ReservationReply, ResponseClass,
     },
-    unscheduled::Reservation,
 };
 use crate::{
     edge::{self, Body, Bounds, Handler, LocalFuture},
--- a/crates/server/src/relay/stream/mod.rs
+++ b/crates/server/src/relay/stream/mod.rs
@@ -1,6 +1,6 @@
 //! Forwards the events of a running generation to its caller, across restarts and relocations.
 
-mod following;
+mod relocation;
 
 use std::{rc::Rc, sync::Arc};
 
@@ -9,14 +9,14 @@
 
 use trayswitch_core::error::RequestError;
 
-use self::following::next_relocation_result;
+use self::relocation::next_relocation_result;
 use super::{
     Job, KvCopy, Relay,
+    event_stream::{EventStream, StreamItem},
     generation::{MAX_WITHHELD_ATTEMPTS, OpenError, Opened, acquire_placement, open_on_endpoint},
     job::ResumeFrom,
-    moves::{Relocation, free_copy},
     quarantine_turn::QuarantineTurn,
-    source::{EventStream, StreamItem},
+    relocation::{Relocation, free_copy},
 };
 use crate::{
     edge::AnswerError,
--- a/crates/server/src/relay/stream/following.rs
+++ b/crates/server/src/relay/stream/relocation.rs
@@ -9,10 +9,10 @@
 use crate::{
     relay::{
         KvCopy,
+        event_stream::StreamItem,
         generation::{Opened, open_on_endpoint},
         job::ResumeFrom,
-        moves::{Relocation, RelocationResult},
-        source::StreamItem,
+        relocation::{Relocation, RelocationResult},
     },
     runtime::MoveOrder,
     telemetry::EventId,
--- a/crates/server/src/relay/tests/cold_start.rs
+++ b/crates/server/src/relay/tests/cold_start.rs
@@ -8,7 +8,7 @@
     units::Instant,
 };
 
-use crate::relay::loads::{ColdStartPolicy, LoadBalancer, Outcome};
+use crate::relay::load_balancer::{ColdStartPolicy, LoadBalancer, Outcome};
 
 /// The rate that a cold endpoint is configured for, and the one that overloads it, in requests per
 /// second.
--- a/crates/server/src/relay/tests/mod.rs
+++ b/crates/server/src/relay/tests/mod.rs
@@ -1,21 +1,21 @@
 //! Tests of the relay: a complete daemon with endpoints controlled by the test.
 
 mod backoff;
-mod budget;
 mod calls;
+mod cancellation;
 mod cold_start;
-mod crashing;
-mod ended;
+mod data_halls;
+mod failed_attempt;
 mod fake_endpoint;
 mod generations;
-mod halls;
 mod latency;
-mod leaving;
-mod limits;
-mod moves;
+mod local_placement;
 mod protocol;
+mod quarantine;
+mod rate_limit;
+mod relocation;
 mod response;
-mod starting;
-mod suspended;
+mod retry_budget;
+mod startup;
+mod suspension;
 mod test_daemon;
-mod unscheduled;
--- a/crates/server/src/relay/tests/budget.rs
+++ b/crates/server/src/relay/tests/retry_budget.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use trayswitch_core::{mechanism::Disabled, units::Instant};
 
-use crate::relay::{RelayOptions, budget::RetryBudget};
+use crate::relay::{RelayOptions, retry_budget::RetryBudget};
 use crate::testing::fixed_seed;
 
 fn options() -> RelayOptions {
