--- a/crates/core/src/node/control/answers.rs
+++ b/crates/core/src/node/control/answers.rs
@@ -8,7 +8,7 @@
     config::ContentHash,
     node::{Clocks, Outbox, Output, SentChange, VmName},
     once::ClaimResult,
-    quarantine::CopyState,
+    quarantine::SuspectCacheState,
     state::{Command, ConfigChange, ConfigResult, HallResult, command},
     units::Instant,
     wire::{
@@ -28,7 +28,7 @@
             version: poll.version,
             last_poll: clocks.now,
             takes_callers: poll.takes_callers,
-            suspects: CopyState { known: poll.suspects, filling: poll.filling },
+            suspects: SuspectCacheState { revision: poll.suspects, initializing: poll.filling },
             stopping_since: poll.stopping.then(|| before.unwrap_or(clocks.now)),
         };
         self.daemons.insert(from.clone(), daemon);
--- a/crates/core/src/node/control/mod.rs
+++ b/crates/core/src/node/control/mod.rs
@@ -22,7 +22,7 @@
     agreement::{Outgoing, Payload, Persist, Replica, ReplicaId, Restored, Role, Synced},
     mechanism::Disabled,
     placement::Scheduler,
-    quarantine::CopyState,
+    quarantine::SuspectCacheState,
     state::State,
     units::Instant,
     wire::{Body, Fetch, Poll, ReplicaInfo, Submit},
@@ -61,7 +61,7 @@
     last_poll: Instant,
     takes_callers: bool,
     /// How current its copy of the suspects is.
-    suspects: CopyState,
+    suspects: SuspectCacheState,
     /// When it first reported its planned stop.
     stopping_since: Option<Instant>,
 }
--- a/crates/core/src/node/control/suspects.rs
+++ b/crates/core/src/node/control/suspects.rs
@@ -4,7 +4,7 @@
 use crate::{
     agreement::Role,
     node::{Clocks, Outbox, Output, VmName, news_batch},
-    quarantine::{Asker, Change, Permission, RequestDigest, Standing, Trials},
+    quarantine::{AttemptId, CrashCounts, RequestDigest, SuspectUpdate, TrialDecision, TrialQueue},
     state::{AgeSuspects, Command, command},
     units::Instant,
     wire::{Body, SuspectNews, SuspectsReply, TrialAsk, TrialOver, TrialReply, TrialStatus},
@@ -13,7 +13,7 @@
 /// Trials and pending announcements of suspects; not replicated, lost when the leader changes.
 #[derive(Debug)]
 pub(super) struct SuspectCoordinator {
-    trials: Trials,
+    trials: TrialQueue,
     /// When changes are next sent to daemons, if there are any.
     next_broadcast: Option<Instant>,
     last_broadcast: Instant,
@@ -24,7 +24,7 @@
 impl SuspectCoordinator {
     pub(super) fn new(now: Instant) -> SuspectCoordinator {
         SuspectCoordinator {
-            trials: Trials::new(now),
+            trials: TrialQueue::new(now),
             next_broadcast: None,
             last_broadcast: Instant::default(),
             next_decision: None,
@@ -40,14 +40,19 @@
     /// The changes of suspects that a daemon does not have yet.
     pub(super) fn suspect_news_for(&self, vm: &VmName) -> Option<SuspectNews> {
         let copy = self.daemons.get(vm)?.suspects;
-        let news = self.state.suspects().news(copy);
-        let is_news = news.reset || copy.known < news.up_to || copy.filling;
+        let news = self.state.suspects().changes_since(copy);
+        let is_news = news.reset || copy.revision < news.up_to || copy.initializing;
         is_news.then_some(news)
     }
 
     /// Schedules an announcement to the daemons. Changes in quick succession are sent together, since
     /// every daemon with a request at a failed endpoint reports it.
-    pub(super) fn on_suspects_changed(&mut self, change: &Change, now: Instant, out: &mut Outbox) {
+    pub(super) fn on_suspects_changed(
+        &mut self,
+        change: &SuspectUpdate,
+        now: Instant,
+        out: &mut Outbox,
+    ) {
         if self.leads() {
             if let Some(suspect) = &change.changed {
                 out.push(Output::Suspect(suspect.clone()));
@@ -71,10 +76,10 @@
         }
         self.suspect_coordinator.last_broadcast = now;
         for (vm, daemon) in &mut self.daemons {
-            let news = self.state.suspects().news(daemon.suspects);
-            if news.reset || daemon.suspects.known < news.up_to {
+            let news = self.state.suspects().changes_since(daemon.suspects);
+            if news.reset || daemon.suspects.revision < news.up_to {
                 // If the message is lost, the next poll reply repeats the change.
-                daemon.suspects.known = news.up_to;
+                daemon.suspects.revision = news.up_to;
                 out.send(vm, Body::Suspects(news));
             }
         }
@@ -85,7 +90,7 @@
         if self.replica.role() != Role::Leader {
             return;
         }
-        let due = self.state.suspects().next_ageing();
+        let due = self.state.suspects().next_expiry();
         if due.is_some_and(|due| due <= clocks.wall) {
             let payload = Command::payload(command::Kind::Age(AgeSuspects {}));
             // If rejected, it is proposed again at the next housekeeping.
@@ -104,12 +109,13 @@
             return self.reply_not_leader(from, None, out);
         }
         let Some(request) = RequestDigest::from_slice(&ask.request) else { return };
-        let asker = Asker { vm: from.clone(), number: ask.number };
+        let asker = AttemptId { vm: from.clone(), number: ask.number };
         if ask.runs {
             return self.suspect_coordinator.trials.adopt(request, asker);
         }
-        let standing = Standing { ended: ask.ended, in_trials: 0 };
-        if let Some(refused) = self.suspect_coordinator.trials.ask(request, asker.clone(), standing)
+        let standing = CrashCounts { total: ask.ended, in_trials: 0 };
+        if let Some(refused) =
+            self.suspect_coordinator.trials.request(request, asker.clone(), standing)
         {
             return send_permission(asker, refused, out);
         }
@@ -123,12 +129,14 @@
         now: Instant,
         out: &mut Outbox,
     ) {
-        self.suspect_coordinator.trials.over(&Asker { vm: from.clone(), number: over.number });
+        self.suspect_coordinator
+            .trials
+            .finish(&AttemptId { vm: from.clone(), number: over.number });
         self.decide_trials(now, out);
     }
 
     pub(super) fn release_trials(&mut self, vm: &VmName, now: Instant, out: &mut Outbox) {
-        self.suspect_coordinator.trials.forget(vm);
+        self.suspect_coordinator.trials.remove_daemon(vm);
         self.decide_trials(now, out);
     }
 
@@ -145,17 +153,17 @@
     }
 }
 
-fn send_permission(asker: Asker, permission: Permission, out: &mut Outbox) {
+fn send_permission(asker: AttemptId, permission: TrialDecision, out: &mut Outbox) {
     let (status, apart) = match permission {
-        Permission::Granted { apart } => (TrialStatus::Granted, apart),
-        Permission::Quarantined => (TrialStatus::Quarantined, false),
-        Permission::Clear => (TrialStatus::Clear, false),
-        Permission::Busy => (TrialStatus::Busy, false),
+        TrialDecision::Granted { isolated: apart } => (TrialStatus::Granted, apart),
+        TrialDecision::Quarantined => (TrialStatus::Quarantined, false),
+        TrialDecision::Cleared => (TrialStatus::Clear, false),
+        TrialDecision::Busy => (TrialStatus::Busy, false),
     };
     let reply = TrialReply { number: asker.number, status: status.into(), apart };
     out.send(&asker.vm, Body::TrialReply(reply));
 }
 
-pub(super) fn encode_suspects_reply(change: &Change) -> SuspectsReply {
-    SuspectsReply { number: change.number, changed: change.changed.is_some() }
+pub(super) fn encode_suspects_reply(change: &SuspectUpdate) -> SuspectsReply {
+    SuspectsReply { number: change.revision, changed: change.changed.is_some() }
 }
--- a/crates/core/src/node/control_client/mod.rs
+++ b/crates/core/src/node/control_client/mod.rs
@@ -20,7 +20,7 @@
 };
 use crate::{
     config::ContentHash,
-    quarantine::{CopyState, Known},
+    quarantine::{SuspectCache, SuspectCacheState},
     state::{HallsOut, State},
     units::Instant,
     wire::{Piece, PollReply, Update},
@@ -93,7 +93,7 @@
     takes_callers: bool,
     stopping: bool,
     /// What is known here of suspects, for polls.
-    suspects: CopyState,
+    suspects: SuspectCacheState,
 }
 
 impl ControlClient {
@@ -121,7 +121,7 @@
             takes_callers: options.takes_callers,
             stopping: false,
             reported_confirmed: None,
-            suspects: Known::default().state(),
+            suspects: SuspectCache::default().state(),
         }
     }
 
--- a/crates/core/src/node/control_client/polls.rs
+++ b/crates/core/src/node/control_client/polls.rs
@@ -5,7 +5,7 @@
 use super::ControlClient;
 use crate::{
     node::{Outbox, VmName},
-    quarantine::CopyState,
+    quarantine::SuspectCacheState,
     units::Instant,
     wire::{Body, Poll},
 };
@@ -37,7 +37,7 @@
     /// Takes how much is known here of suspects; asks on at once if the leader has told that there is more.
     pub(crate) fn set_suspects_state(
         &mut self,
-        state: CopyState,
+        state: SuspectCacheState,
         has_more: bool,
         now: Instant,
         out: &mut Outbox,
@@ -73,8 +73,8 @@
             hash,
             takes_callers: self.takes_callers,
             stopping: self.stopping,
-            suspects: self.suspects.known,
-            filling: self.suspects.filling,
+            suspects: self.suspects.revision,
+            filling: self.suspects.initializing,
         };
         out.send(&to, Body::Poll(poll));
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -85,7 +85,7 @@
     config::ContentHash,
     mechanism::Disabled,
     placement::{LoadReport, Request},
-    quarantine::{RequestDigest, Standing},
+    quarantine::{CrashCounts, RequestDigest},
     registry::Registry,
     throttle::RateLimit,
     units::Instant,
@@ -201,7 +201,7 @@
     }
 
     /// Crash record of a request.
-    pub fn standing(&self, request: &RequestDigest) -> Standing {
+    pub fn standing(&self, request: &RequestDigest) -> CrashCounts {
         self.suspects.standing(request)
     }
 
--- a/crates/core/src/node/suspect_tracker.rs
+++ b/crates/core/src/node/suspect_tracker.rs
@@ -16,7 +16,7 @@
     CallId, FailedAttempt, NodeReply, Outbox, Output, ProbeOutcome, VmName, operations::Operations,
 };
 use crate::{
-    quarantine::{ClearRequest, EndedRun, EndedUnder, Known, RequestDigest, Standing},
+    quarantine::{ClearRequest, CrashCounts, CrashReport, CrashedRun, RequestDigest, SuspectCache},
     registry::{Registry, RunState},
     units::{Instant, UnixMillis},
     wire::{
@@ -85,7 +85,7 @@
 /// Crash records and trials of one daemon.
 #[derive(Debug, Default)]
 pub(crate) struct SuspectTracker {
-    known: Known,
+    known: SuspectCache,
     /// By the number of the operation that reports the crash.
     reported: BTreeMap<u64, ReportedCrash>,
     ambiguous: Vec<AmbiguousFailure>,
@@ -106,7 +106,7 @@
 
 impl SuspectTracker {
     /// The daemon's copy of the replicated crash records.
-    pub(crate) fn known(&self) -> &Known {
+    pub(crate) fn known(&self) -> &SuspectCache {
         &self.known
     }
 
@@ -116,19 +116,19 @@
     }
 
     /// Crashes counted against a request.
-    pub(crate) fn standing(&self, request: &RequestDigest) -> Standing {
+    pub(crate) fn standing(&self, request: &RequestDigest) -> CrashCounts {
         let own = self.reported.values().filter(|crash| crash.request == *request);
         // Reported crashes may be in the records already, so the counts are not added.
-        let own = own.fold(Standing::default(), |own, end| own.with_end(end.in_trial));
-        self.known.standing(request).max(own)
+        let own = own.fold(CrashCounts::default(), |own, end| own.with_crash(end.in_trial));
+        self.known.crash_counts(request).max(own)
     }
 
     /// Applies changes of the replicated crash records.
     pub(crate) fn on_news(&mut self, news: &SuspectNews, out: &mut Outbox) {
-        if !self.known.take(news) {
+        if !self.known.apply(news) {
             return;
         }
-        let number = self.known.state().known;
+        let number = self.known.state().revision;
         self.reported.retain(|_, crash| crash.recorded_at.is_none_or(|recorded| number < recorded));
         self.publish_counts(out);
     }
@@ -139,7 +139,7 @@
         let (known, quarantined) = self.known.counts();
         let own: BTreeSet<&RequestDigest> =
             self.reported.values().map(|crash| &crash.request).collect();
-        let own = own.into_iter().filter(|request| !self.known.standing(request).is_suspect());
+        let own = own.into_iter().filter(|request| !self.known.crash_counts(request).is_suspect());
         out.push(Output::Suspects { suspects: known + own.count(), quarantined });
     }
 
@@ -173,9 +173,12 @@
         let FailedAttempt { request, endpoint, started_at, trial, .. } = attempt;
         let in_trial = trial.is_some();
         let seen_ms = if started_at.is_some() { 0 } else { cx.wall.0 };
-        let run =
-            EndedRun { endpoint: endpoint.to_string(), born: started_at.unwrap_or(0), seen_ms };
-        let ended = EndedUnder { run, request: bytes_of(request), in_trial };
+        let run = CrashedRun {
+            endpoint: endpoint.to_string(),
+            started_at: started_at.unwrap_or(0),
+            detected_ms: seen_ms,
+        };
+        let ended = CrashReport { run, request: bytes_of(request), in_trial };
         let kind = OperationKind::Ended(ended);
         let number = cx.operations.start_detached(kind, REPORT_TIMEOUT, cx.leader, cx.now, out);
         let expires_at = cx.now.after(REPORT_TIMEOUT);
@@ -198,7 +201,7 @@
         if let Some(crash) = self.reported.get_mut(&operation) {
             crash.recorded_at = Some(reply.number);
         }
-        let known = self.known.state().known;
+        let known = self.known.state().revision;
         self.reported.retain(|_, crash| crash.recorded_at.is_none_or(|recorded| known < recorded));
         if let Some(call) = self.finishing.remove(&operation)
             && !self.finishing.values().any(|other| *other == call)
@@ -246,7 +249,7 @@
             }
             TrialStatus::Quarantined => TrialAnswer::Quarantined,
             TrialStatus::Clear => {
-                self.known.forget(&pending.request);
+                self.known.remove(&pending.request);
                 self.publish_counts(out);
                 TrialAnswer::Clear
             }
@@ -356,7 +359,7 @@
         out: &mut Outbox,
     ) {
         let Some(leader) = leader else { return };
-        let Standing { ended, .. } = self.standing(&request);
+        let CrashCounts { total: ended, .. } = self.standing(&request);
         let request = bytes_of(&request);
         out.send(
             leader,
--- a/crates/core/src/node/tests/net/mod.rs
+++ b/crates/core/src/node/tests/net/mod.rs
@@ -20,7 +20,7 @@
         CallId, Clocks, ControlStatus, Input, Node, NodeCall, NodeOptions, NodeTiming, Output,
         VmName, control::ControlReplica,
     },
-    quarantine::{RequestDigest, Standing},
+    quarantine::{CrashCounts, RequestDigest},
     state::{ConfigChange, HallOrder},
     testing::{Choices, Disk},
     units::{Instant, UnixMillis},
@@ -268,7 +268,7 @@
     }
 
     /// How a request stands by what a VM's daemon knows; nothing while it does not run.
-    pub(super) fn standing(&self, vm: &VmName, request: &RequestDigest) -> Option<Standing> {
+    pub(super) fn standing(&self, vm: &VmName, request: &RequestDigest) -> Option<CrashCounts> {
         Some(self.hosts[vm].node.as_ref()?.standing(request))
     }
 
--- a/crates/core/src/node/tests/suspects.rs
+++ b/crates/core/src/node/tests/suspects.rs
@@ -14,7 +14,7 @@
 };
 use crate::{
     node::{CallId, FailedAttempt, Input, NodeCall, ProbeOutcome, TrialAnswer, VmName},
-    quarantine::{RequestDigest, Standing},
+    quarantine::{CrashCounts, RequestDigest},
     testing::fixed_seed,
     wire::EndpointRecord,
 };
@@ -65,7 +65,7 @@
 }
 
 fn is_quarantined_at(net: &Net, vm: &VmName) -> bool {
-    net.standing(vm, &deadly()).is_some_and(Standing::is_quarantined)
+    net.standing(vm, &deadly()).is_some_and(CrashCounts::is_quarantined)
 }
 
 #[gtest]
@@ -77,7 +77,7 @@
 
     for vm in &net.vms() {
         let standing = net.standing(vm, &deadly());
-        expect_that!(standing, some(eq(Standing { ended: 1, in_trials: 0 })), "{vm}");
+        expect_that!(standing, some(eq(CrashCounts { total: 1, in_trials: 0 })), "{vm}");
     }
 }
 
@@ -91,7 +91,7 @@
     net.wait(10);
 
     let standing = net.standing(&"vm-5".into(), &deadly());
-    expect_that!(standing, some(eq(Standing { ended: 1, in_trials: 0 })));
+    expect_that!(standing, some(eq(CrashCounts { total: 1, in_trials: 0 })));
 }
 
 #[gtest]
@@ -134,9 +134,9 @@
     let at_once = net.standing(&"vm-4".into(), &deadly());
     net.calm(100);
 
-    expect_that!(at_once, some(eq(Standing { ended: 1, in_trials: 0 })));
+    expect_that!(at_once, some(eq(CrashCounts { total: 1, in_trials: 0 })));
     let elsewhere = net.standing(&"vm-5".into(), &deadly());
-    expect_that!(elsewhere, some(eq(Standing { ended: 1, in_trials: 0 })));
+    expect_that!(elsewhere, some(eq(CrashCounts { total: 1, in_trials: 0 })));
 }
 
 #[gtest]
@@ -172,7 +172,7 @@
 
     expect_that!(net.seen.trials.get(&second), some(eq(&TrialAnswer::Clear)));
     for vm in &net.vms() {
-        expect_that!(net.standing(vm, &deadly()), some(eq(Standing::default())), "{vm}");
+        expect_that!(net.standing(vm, &deadly()), some(eq(CrashCounts::default())), "{vm}");
     }
 }
 
@@ -221,7 +221,7 @@
     breaks_off(&mut net, ProbeOutcome::ConnectionRefused);
     net.wait(10);
 
-    expect_that!(net.standing(&"vm-4".into(), &deadly()), some(eq(Standing::default())));
+    expect_that!(net.standing(&"vm-4".into(), &deadly()), some(eq(CrashCounts::default())));
 }
 
 #[gtest]
@@ -235,7 +235,7 @@
         net.wait(45);
     }
 
-    expect_that!(net.standing(&"vm-4".into(), &deadly()), some(eq(Standing::default())));
+    expect_that!(net.standing(&"vm-4".into(), &deadly()), some(eq(CrashCounts::default())));
 }
 
 #[gtest]
@@ -250,9 +250,9 @@
         net.wait(45);
     }
 
-    expect_that!(before, some(eq(Standing::default())));
+    expect_that!(before, some(eq(CrashCounts::default())));
     let standing = net.standing(&"vm-5".into(), &deadly());
-    expect_that!(standing, some(eq(Standing { ended: 1, in_trials: 0 })));
+    expect_that!(standing, some(eq(CrashCounts { total: 1, in_trials: 0 })));
 }
 
 proptest! {
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -5,31 +5,31 @@
 //! only try of it anywhere, and with as little beside it as can be. Such a run is a *trial*.
 //!
 //! - [`RequestDigest`] names a request, whichever try and whichever daemon it comes through;
-//! - [`Records`] is what the control VMs agree on: under which requests endpoints have ended;
-//! - [`Known`] is a daemon's copy of it;
-//! - [`Trials`] lets one try of a suspect run at a time, on the leader.
+//! - [`SuspectTable`] is what the control VMs agree on: under which requests endpoints have ended;
+//! - [`SuspectCache`] is a daemon's copy of it;
+//! - [`TrialQueue`] lets one try of a suspect run at a time, on the leader.
 
 mod digest;
 #[cfg(test)]
 mod digest_tests;
-mod known;
-mod record;
-mod records;
+mod errors;
+mod suspect_cache;
+mod suspect_record;
+mod suspect_table;
 #[cfg(test)]
-mod records_tests;
-mod trials;
+mod suspect_table_tests;
+mod trial_queue;
 #[cfg(test)]
-mod trials_tests;
-mod turn;
+mod trial_queue_tests;
 
 pub use self::{
     digest::{DigestKey, RequestDigest, RequestIdentity},
-    record::{EndedRun, Standing},
-    records::{Change, ClearRequest, EndedUnder, Records, Suspect},
-    turn::{PATIENCE, no_turn, quarantined},
+    errors::{MAX_TRIAL_WAIT, quarantined, trial_wait_expired},
+    suspect_record::{CrashCounts, CrashedRun},
+    suspect_table::{ClearRequest, CrashReport, Suspect, SuspectTable, SuspectUpdate},
 };
 pub(crate) use self::{
-    known::Known,
-    records::{CopyState, EncodedRecords},
-    trials::{Asker, Permission, Trials},
+    suspect_cache::SuspectCache,
+    suspect_table::{EncodedSuspectTable, SuspectCacheState},
+    trial_queue::{AttemptId, TrialDecision, TrialQueue},
 };
--- a/crates/core/src/quarantine/known.rs
+++ b/crates/core/src/quarantine/suspect_cache.rs
@@ -2,25 +2,28 @@
 
 use std::collections::BTreeMap;
 
-use super::{CopyState, RequestDigest, Standing};
+use super::{CrashCounts, RequestDigest, SuspectCacheState};
 use crate::wire::{SuspectChange, SuspectNews};
 
 /// How the requests stand under which endpoints have ended, as a daemon was told.
 #[derive(Debug)]
-pub(crate) struct Known {
-    state: CopyState,
-    standings: BTreeMap<RequestDigest, Standing>,
+pub(crate) struct SuspectCache {
+    state: SuspectCacheState,
+    standings: BTreeMap<RequestDigest, CrashCounts>,
 }
 
-impl Default for Known {
-    fn default() -> Known {
-        Known { state: CopyState { known: 0, filling: true }, standings: BTreeMap::new() }
+impl Default for SuspectCache {
+    fn default() -> SuspectCache {
+        SuspectCache {
+            state: SuspectCacheState { revision: 0, initializing: true },
+            standings: BTreeMap::new(),
+        }
     }
 }
 
-impl Known {
+impl SuspectCache {
     /// How much is known.
-    pub(crate) fn state(&self) -> CopyState {
+    pub(crate) fn state(&self) -> SuspectCacheState {
         self.state
     }
 
@@ -28,7 +31,7 @@
         self.standings.is_empty()
     }
 
-    pub(crate) fn standing(&self, request: &RequestDigest) -> Standing {
+    pub(crate) fn crash_counts(&self, request: &RequestDigest) -> CrashCounts {
         self.standings.get(request).copied().unwrap_or_default()
     }
 
@@ -40,8 +43,8 @@
 
     /// Takes what has changed; tells whether that is anything. What does not follow on what is known
     /// is left for the next answer to a poll, which does.
-    pub(crate) fn take(&mut self, news: &SuspectNews) -> bool {
-        let CopyState { known, filling } = self.state;
+    pub(crate) fn apply(&mut self, news: &SuspectNews) -> bool {
+        let SuspectCacheState { revision: known, initializing: filling } = self.state;
         if news.reset {
             self.standings.clear();
         } else if known < news.after || news.up_to < known {
@@ -49,21 +52,21 @@
         }
         let is_news = news.reset || known < news.up_to;
         let filling = (news.reset || filling) && news.more;
-        self.state = CopyState { known: news.up_to, filling };
+        self.state = SuspectCacheState { revision: news.up_to, initializing: filling };
         for change in &news.changes {
-            self.apply(change);
+            self.apply_change(change);
         }
         is_news
     }
 
     /// Forgets a request that the leader has said is no suspect any more.
-    pub(crate) fn forget(&mut self, request: &RequestDigest) {
+    pub(crate) fn remove(&mut self, request: &RequestDigest) {
         self.standings.remove(request);
     }
 
-    fn apply(&mut self, change: &SuspectChange) {
+    fn apply_change(&mut self, change: &SuspectChange) {
         let Some(request) = RequestDigest::from_slice(&change.request) else { return };
-        let standing = Standing { ended: change.ended, in_trials: change.in_trials };
+        let standing = CrashCounts { total: change.ended, in_trials: change.in_trials };
         if standing.is_suspect() {
             self.standings.insert(request, standing);
         } else {
--- a/crates/core/src/quarantine/record.rs
+++ b/crates/core/src/quarantine/suspect_record.rs
@@ -31,84 +31,89 @@
 
 /// A run of an endpoint that has ended.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct EndedRun {
+pub struct CrashedRun {
     /// Name of the endpoint.
     #[prost(string, tag = "1")]
     pub endpoint: String,
     /// When the run was started, by its own word; zero where it has not said.
     #[prost(uint64, tag = "2")]
-    pub born: u64,
+    pub started_at: u64,
     /// When its end was seen, in ms since the Unix epoch, where name and start do not tell one run of the
     /// endpoint from the next; else zero.
     #[prost(uint64, tag = "3")]
-    pub seen_ms: u64,
+    pub detected_ms: u64,
 }
 
-impl EndedRun {
-    fn is_same(&self, other: &EndedRun) -> bool {
-        let is_at_once = self.seen_ms.abs_diff(other.seen_ms) < SAME_END;
-        self.endpoint == other.endpoint && self.born == other.born && is_at_once
+impl CrashedRun {
+    fn is_same(&self, other: &CrashedRun) -> bool {
+        let is_at_once = self.detected_ms.abs_diff(other.detected_ms) < SAME_END;
+        self.endpoint == other.endpoint && self.started_at == other.started_at && is_at_once
     }
 }
 
 /// How a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Standing {
+pub struct CrashCounts {
     /// Endpoints that have ended under it.
-    pub ended: u32,
+    pub total: u32,
     /// Those of them that ended in trials.
     pub in_trials: u32,
 }
 
-impl Standing {
+impl CrashCounts {
     /// Whether any endpoint has ended under it.
     pub fn is_suspect(self) -> bool {
-        0 < self.ended
+        0 < self.total
     }
 
     /// Whether it is sent to no endpoint.
     pub fn is_quarantined(self) -> bool {
-        ENDS_TO_QUARANTINE <= self.ended && TRIALS_TO_QUARANTINE <= self.in_trials
+        ENDS_TO_QUARANTINE <= self.total && TRIALS_TO_QUARANTINE <= self.in_trials
     }
 
     /// Whether its trials run apart from other requests.
-    pub fn runs_apart(self) -> bool {
-        ENDS_TO_RUN_APART <= self.ended
+    pub fn needs_isolation(self) -> bool {
+        ENDS_TO_RUN_APART <= self.total
     }
 
     /// The higher of two counts of each kind.
-    pub(crate) fn max(self, other: Standing) -> Standing {
-        Standing {
-            ended: self.ended.max(other.ended),
+    pub(crate) fn max(self, other: CrashCounts) -> CrashCounts {
+        CrashCounts {
+            total: self.total.max(other.total),
             in_trials: self.in_trials.max(other.in_trials),
         }
     }
 
     /// With one end more.
-    pub(crate) fn with_end(self, in_trial: bool) -> Standing {
-        Standing { ended: self.ended + 1, in_trials: self.in_trials + u32::from(in_trial) }
+    pub(crate) fn with_crash(self, in_trial: bool) -> CrashCounts {
+        CrashCounts { total: self.total + 1, in_trials: self.in_trials + u32::from(in_trial) }
     }
 }
 
 /// What the control VMs keep of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Record {
-    pub(super) standing: Standing,
+pub(super) struct SuspectRecord {
+    pub(super) crashes: CrashCounts,
     /// The last runs that ended under it, the newest last.
-    pub(super) runs: Vec<EndedRun>,
+    pub(super) runs: Vec<CrashedRun>,
     /// When the last of them ended, by the log's clock.
-    pub(super) last: UnixMillis,
+    pub(super) updated_at: UnixMillis,
     /// Number of the change that made it so.
-    pub(super) number: u64,
+    pub(super) revision: u64,
 }
 
-impl Record {
-    pub(super) fn new() -> Record {
-        Record { standing: Standing::default(), runs: Vec::new(), last: UnixMillis(0), number: 0 }
+impl SuspectRecord {
+    pub(super) fn new() -> SuspectRecord {
+        SuspectRecord {
+            crashes: CrashCounts::default(),
+            runs: Vec::new(),
+            updated_at: UnixMillis(0),
+            revision: 0,
+        }
     }
 
     /// Counts an end, unless it is known; tells whether it was not.
-    pub(super) fn end(&mut self, run: &EndedRun, in_trial: bool, now: UnixMillis) -> bool {
+    pub(super) fn end(&mut self, run: &CrashedRun, in_trial: bool, now: UnixMillis) -> bool {
         if self.runs.iter().any(|known| known.is_same(run)) {
             return false;
         }
@@ -116,29 +121,29 @@
             self.runs.remove(0);
         }
         self.runs.push(run.clone());
-        self.standing = self.standing.with_end(in_trial);
-        self.last = now;
+        self.crashes = self.crashes.with_crash(in_trial);
+        self.updated_at = now;
         true
     }
 
     /// When it changes by itself.
     pub(super) fn due(&self) -> UnixMillis {
-        let life = if self.standing.is_quarantined() { QUARANTINE_LIFE } else { SUSPECT_LIFE };
-        UnixMillis(self.last.0.saturating_add(life.as_millis() as u64))
+        let life = if self.crashes.is_quarantined() { QUARANTINE_LIFE } else { SUSPECT_LIFE };
+        UnixMillis(self.updated_at.0.saturating_add(life.as_millis() as u64))
     }
 
     /// Lets one trial more run, after the time in quarantine.
     pub(super) fn release(&mut self, now: UnixMillis) {
-        self.standing.in_trials = TRIALS_TO_QUARANTINE - 1;
-        self.last = now;
+        self.crashes.in_trials = TRIALS_TO_QUARANTINE - 1;
+        self.updated_at = now;
     }
 
     /// The order in which records give way when there are too many: suspects first, those with the
     /// fewest ends of them, the oldest of these.
     pub(super) fn worth(&self) -> (bool, u32, UnixMillis) {
-        (self.standing.is_quarantined(), self.standing.ended, self.last)
+        (self.crashes.is_quarantined(), self.crashes.total, self.updated_at)
     }
 }
 
 /// A record with the request that it is about.
-pub(super) type Entry = (RequestDigest, Record);
+pub(super) type Entry = (RequestDigest, SuspectRecord);
--- a/crates/core/src/quarantine/records.rs
+++ b/crates/core/src/quarantine/suspect_table.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 
 use super::{
-    RequestDigest, Standing,
-    record::{EndedRun, Entry, Record},
+    CrashCounts, RequestDigest,
+    suspect_record::{CrashedRun, Entry, SuspectRecord},
 };
 use crate::{
     units::UnixMillis,
@@ -27,10 +27,10 @@
 
 /// An endpoint has ended, and these requests ran there.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct EndedUnder {
+pub struct CrashReport {
     /// The endpoint's run.
     #[prost(message, required, tag = "1")]
-    pub run: EndedRun,
+    pub run: CrashedRun,
     /// Digest of the request.
     #[prost(bytes = "bytes", tag = "2")]
     pub request: Bytes,
@@ -53,47 +53,47 @@
     /// The request.
     pub request: RequestDigest,
     /// How it stands.
-    pub standing: Standing,
+    pub crashes: CrashCounts,
     /// The last endpoints that ended under it, the newest last.
-    pub runs: Vec<EndedRun>,
+    pub runs: Vec<CrashedRun>,
     /// When the last of them ended.
-    pub last: UnixMillis,
+    pub updated_at: UnixMillis,
 }
 
 /// How much of the records a daemon has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct CopyState {
+pub(crate) struct SuspectCacheState {
     /// Number of the last change that it knows.
-    pub(crate) known: u64,
+    pub(crate) revision: u64,
     /// Whether it began without any and has not been told all yet.
-    pub(crate) filling: bool,
+    pub(crate) initializing: bool,
 }
 
 /// What a command has changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Change {
+pub struct SuspectUpdate {
     /// Number of the last change so far.
-    pub number: u64,
+    pub revision: u64,
     /// The request that it is about, as it stands now, if it has changed.
     pub changed: Option<Suspect>,
 }
 
 /// The requests under which endpoints have ended.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Records {
-    by_request: BTreeMap<RequestDigest, Record>,
+pub struct SuspectTable {
+    by_request: BTreeMap<RequestDigest, SuspectRecord>,
     /// The last change of each request that is kept, and of those lately gone.
     changes: BTreeMap<u64, RequestDigest>,
     /// The requests that are lately gone, and the numbers of these changes.
     gone: BTreeMap<RequestDigest, u64>,
-    number: u64,
+    revision: u64,
     /// What was gone by this number is forgotten.
     forgotten: u64,
 }
 
 /// One record in a snapshot.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct EncodedRecord {
+struct EncodedSuspect {
     #[prost(bytes = "bytes", tag = "1")]
     request: Bytes,
     #[prost(uint32, tag = "2")]
@@ -101,41 +101,41 @@
     #[prost(uint32, tag = "3")]
     in_trials: u32,
     #[prost(message, repeated, tag = "4")]
-    runs: Vec<EndedRun>,
+    runs: Vec<CrashedRun>,
     #[prost(uint64, tag = "5")]
     last_ms: u64,
     #[prost(uint64, tag = "6")]
-    number: u64,
+    revision: u64,
 }
 
-/// [`Records`] in a snapshot. What is gone is not kept: daemons that know older changes are told all.
+/// [`SuspectTable`] in a snapshot. What is gone is not kept: daemons that know older changes are told all.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub(crate) struct EncodedRecords {
+pub(crate) struct EncodedSuspectTable {
     #[prost(uint64, tag = "1")]
-    number: u64,
+    revision: u64,
     #[prost(message, repeated, tag = "2")]
-    records: Vec<EncodedRecord>,
+    records: Vec<EncodedSuspect>,
 }
 
-impl Records {
+impl SuspectTable {
     /// How a request stands.
-    pub fn standing(&self, request: &RequestDigest) -> Standing {
-        self.by_request.get(request).map_or(Standing::default(), |record| record.standing)
+    pub fn crash_counts(&self, request: &RequestDigest) -> CrashCounts {
+        self.by_request.get(request).map_or(CrashCounts::default(), |record| record.crashes)
     }
 
     /// All of them, those that are kept from endpoints first.
     pub fn all(&self) -> Vec<Suspect> {
         let mut all: Vec<Suspect> = self.by_request.iter().map(suspect).collect();
-        all.sort_by_key(|suspect| (!suspect.standing.is_quarantined(), suspect.request));
+        all.sort_by_key(|suspect| (!suspect.crashes.is_quarantined(), suspect.request));
         all
     }
 
     /// Counts an end under a request.
-    pub(crate) fn ended(&mut self, ended: &EndedUnder, now: UnixMillis) -> Change {
+    pub(crate) fn record_crash(&mut self, ended: &CrashReport, now: UnixMillis) -> SuspectUpdate {
         let Some(request) = RequestDigest::from_slice(&ended.request) else {
             return self.unchanged();
         };
-        let record = self.by_request.entry(request).or_insert_with(Record::new);
+        let record = self.by_request.entry(request).or_insert_with(SuspectRecord::new);
         if !record.end(&ended.run, ended.in_trial, now) {
             return self.unchanged();
         }
@@ -145,7 +145,7 @@
     }
 
     /// Forgets a request.
-    pub(crate) fn clear(&mut self, clear: &ClearRequest) -> Change {
+    pub(crate) fn clear(&mut self, clear: &ClearRequest) -> SuspectUpdate {
         let request = RequestDigest::from_slice(&clear.request);
         match request.filter(|request| self.by_request.contains_key(request)) {
             Some(request) => {
@@ -156,19 +156,19 @@
         }
     }
 
-    /// When [`Records::age`] next changes anything.
-    pub(crate) fn next_ageing(&self) -> Option<UnixMillis> {
-        self.by_request.values().map(Record::due).min()
+    /// When [`SuspectTable::age`] next changes anything.
+    pub(crate) fn next_expiry(&self) -> Option<UnixMillis> {
+        self.by_request.values().map(SuspectRecord::due).min()
     }
 
     /// Forgets suspects that have been at no end for long, and lets those that were kept from
     /// endpoints have one trial more.
-    pub(crate) fn age(&mut self, now: UnixMillis) -> Change {
+    pub(crate) fn expire(&mut self, now: UnixMillis) -> SuspectUpdate {
         let due: Vec<RequestDigest> =
             self.by_request.iter().filter(|(_, r)| r.due() <= now).map(|(d, _)| *d).collect();
         for request in due {
             match self.by_request.get_mut(&request) {
-                Some(record) if record.standing.is_quarantined() => {
+                Some(record) if record.crashes.is_quarantined() => {
                     record.release(now);
                     self.changed(request);
                 }
@@ -179,77 +179,91 @@
     }
 
     /// What a daemon lacks that knows the changes up to this number.
-    pub(crate) fn news(&self, copy: CopyState) -> SuspectNews {
-        let CopyState { known, filling } = copy;
+    pub(crate) fn changes_since(&self, copy: SuspectCacheState) -> SuspectNews {
+        let SuspectCacheState { revision: known, initializing: filling } = copy;
         let lacks_what_is_gone = known < self.forgotten && !filling;
-        let reset = lacks_what_is_gone || self.number < known;
+        let reset = lacks_what_is_gone || self.revision < known;
         let known = if reset { 0 } else { known };
         let mut left = self.changes.range(known + 1..);
         let told: Vec<(u64, RequestDigest)> =
             left.by_ref().take(TOLD_AT_ONCE).map(|(number, request)| (*number, *request)).collect();
         let more = left.next().is_some();
-        let up_to = told.last().filter(|_| more).map_or(self.number, |(number, _)| *number);
+        let up_to = told.last().filter(|_| more).map_or(self.revision, |(number, _)| *number);
         let change = |(_, request): (u64, RequestDigest)| {
-            let Standing { ended, in_trials } = self.standing(&request);
+            let CrashCounts { total: ended, in_trials } = self.crash_counts(&request);
             SuspectChange { request: Bytes::copy_from_slice(request.as_bytes()), ended, in_trials }
         };
         let changes = told.into_iter().map(change).collect();
         SuspectNews { after: known, up_to, reset, more, changes }
     }
 
-    pub(crate) fn encode(&self) -> EncodedRecords {
-        let record = |(request, record): (&RequestDigest, &Record)| EncodedRecord {
+    pub(crate) fn encode(&self) -> EncodedSuspectTable {
+        let record = |(request, record): (&RequestDigest, &SuspectRecord)| EncodedSuspect {
             request: Bytes::copy_from_slice(request.as_bytes()),
-            ended: record.standing.ended,
-            in_trials: record.standing.in_trials,
+            ended: record.crashes.total,
+            in_trials: record.crashes.in_trials,
             runs: record.runs.clone(),
-            last_ms: record.last.0,
-            number: record.number,
+            last_ms: record.updated_at.0,
+            revision: record.revision,
         };
         let records = self.by_request.iter().map(record).collect();
-        EncodedRecords { number: self.number, records }
+        EncodedSuspectTable { revision: self.revision, records }
     }
 
-    pub(crate) fn decode(encoded: EncodedRecords) -> Records {
-        let record = |record: EncodedRecord| -> Option<Entry> {
+    pub(crate) fn decode(encoded: EncodedSuspectTable) -> SuspectTable {
+        let record = |record: EncodedSuspect| -> Option<Entry> {
             let request = RequestDigest::from_slice(&record.request)?;
-            let EncodedRecord { ended, in_trials, runs, last_ms, number, .. } = record;
-            let standing = Standing { ended, in_trials };
-            Some((request, Record { standing, runs, last: UnixMillis(last_ms), number }))
+            let EncodedSuspect { ended, in_trials, runs, last_ms, revision: number, .. } = record;
+            let standing = CrashCounts { total: ended, in_trials };
+            Some((
+                request,
+                SuspectRecord {
+                    crashes: standing,
+                    runs,
+                    updated_at: UnixMillis(last_ms),
+                    revision: number,
+                },
+            ))
         };
-        let by_request: BTreeMap<RequestDigest, Record> =
+        let by_request: BTreeMap<RequestDigest, SuspectRecord> =
             encoded.records.into_iter().filter_map(record).collect();
-        let changes = by_request.iter().map(|(request, r)| (r.number, *request)).collect();
-        let number = encoded.number;
-        Records { by_request, changes, gone: BTreeMap::new(), number, forgotten: number }
+        let changes = by_request.iter().map(|(request, r)| (r.revision, *request)).collect();
+        let number = encoded.revision;
+        SuspectTable {
+            by_request,
+            changes,
+            gone: BTreeMap::new(),
+            revision: number,
+            forgotten: number,
+        }
     }
 
-    fn unchanged(&self) -> Change {
-        Change { number: self.number, changed: None }
+    fn unchanged(&self) -> SuspectUpdate {
+        SuspectUpdate { revision: self.revision, changed: None }
     }
 
-    fn now_stands(&self, request: RequestDigest) -> Change {
-        let gone = || Record { number: self.number, ..Record::new() };
+    fn now_stands(&self, request: RequestDigest) -> SuspectUpdate {
+        let gone = || SuspectRecord { revision: self.revision, ..SuspectRecord::new() };
         let record = self.by_request.get(&request).cloned().unwrap_or_else(gone);
-        Change { number: self.number, changed: Some(suspect((&request, &record))) }
+        SuspectUpdate { revision: self.revision, changed: Some(suspect((&request, &record))) }
     }
 
     /// Numbers a change of a request that is kept.
     fn changed(&mut self, request: RequestDigest) {
-        self.number += 1;
+        self.revision += 1;
         let Some(record) = self.by_request.get_mut(&request) else { return };
-        let before = std::mem::replace(&mut record.number, self.number);
+        let before = std::mem::replace(&mut record.revision, self.revision);
         self.changes.remove(&before);
         if let Some(gone) = self.gone.remove(&request) {
             self.changes.remove(&gone);
         }
-        self.changes.insert(self.number, request);
+        self.changes.insert(self.revision, request);
     }
 
     fn remove(&mut self, request: RequestDigest) {
         self.changed(request);
         self.by_request.remove(&request);
-        self.gone.insert(request, self.number);
+        self.gone.insert(request, self.revision);
         self.forget_gone();
     }
 
@@ -280,7 +294,7 @@
     }
 }
 
-fn suspect((request, record): (&RequestDigest, &Record)) -> Suspect {
-    let Record { standing, runs, last, .. } = record.clone();
-    Suspect { request: *request, standing, runs, last }
+fn suspect((request, record): (&RequestDigest, &SuspectRecord)) -> Suspect {
+    let SuspectRecord { crashes: standing, runs, updated_at: last, .. } = record.clone();
+    Suspect { request: *request, crashes: standing, runs, updated_at: last }
 }
--- a/crates/core/src/quarantine/records_tests.rs
+++ b/crates/core/src/quarantine/suspect_table_tests.rs
@@ -4,7 +4,9 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-use super::{ClearRequest, EndedRun, EndedUnder, Known, Records, RequestDigest, Standing};
+use super::{
+    ClearRequest, CrashCounts, CrashReport, CrashedRun, RequestDigest, SuspectCache, SuspectTable,
+};
 use crate::{testing::fixed_seed, units::UnixMillis};
 
 const HOUR: u64 = 3_600_000;
@@ -17,22 +19,22 @@
     Bytes::copy_from_slice(request(number).as_bytes())
 }
 
-fn ended(number: u8, endpoint: u64, in_trial: bool) -> EndedUnder {
-    let run = EndedRun { endpoint: format!("e{endpoint}"), born: 0, seen_ms: 0 };
-    EndedUnder { run, request: bytes(number), in_trial }
+fn ended(number: u8, endpoint: u64, in_trial: bool) -> CrashReport {
+    let run = CrashedRun { endpoint: format!("e{endpoint}"), started_at: 0, detected_ms: 0 };
+    CrashReport { run, request: bytes(number), in_trial }
 }
 
 /// Records after so many ends under request 1, the last of them in trials.
-fn after(ends: u64, in_trials: u64, at: u64) -> Records {
-    let mut records = Records::default();
+fn after(ends: u64, in_trials: u64, at: u64) -> SuspectTable {
+    let mut records = SuspectTable::default();
     for endpoint in 0..ends {
-        records.ended(&ended(1, endpoint, ends - in_trials <= endpoint), UnixMillis(at));
+        records.record_crash(&ended(1, endpoint, ends - in_trials <= endpoint), UnixMillis(at));
     }
     records
 }
 
-fn is_quarantined(records: &Records) -> bool {
-    records.standing(&request(1)).is_quarantined()
+fn is_quarantined(records: &SuspectTable) -> bool {
+    records.crash_counts(&request(1)).is_quarantined()
 }
 
 #[gtest]
@@ -51,35 +53,35 @@
 fn one_end_counts_once_however_many_daemons_tell_of_it() {
     let mut records = after(1, 0, 0);
 
-    let again = records.ended(&ended(1, 0, true), UnixMillis(5));
+    let again = records.record_crash(&ended(1, 0, true), UnixMillis(5));
 
     expect_that!(again.changed, none());
-    expect_that!(records.standing(&request(1)), eq(Standing { ended: 1, in_trials: 0 }));
+    expect_that!(records.crash_counts(&request(1)), eq(CrashCounts { total: 1, in_trials: 0 }));
 }
 
 #[gtest]
 fn another_run_of_the_same_endpoint_is_another_end() {
     let mut records = after(1, 0, 0);
-    let run = EndedRun { endpoint: "e0".into(), born: 7, seen_ms: 0 };
+    let run = CrashedRun { endpoint: "e0".into(), started_at: 7, detected_ms: 0 };
 
-    records.ended(&EndedUnder { run, ..ended(1, 0, false) }, UnixMillis(0));
+    records.record_crash(&CrashReport { run, ..ended(1, 0, false) }, UnixMillis(0));
 
-    expect_that!(records.standing(&request(1)).ended, eq(2));
+    expect_that!(records.crash_counts(&request(1)).total, eq(2));
 }
 
 #[gtest]
 fn an_endpoint_whose_runs_cannot_be_told_apart_ends_again_when_that_is_seen_later() {
-    let mut records = Records::default();
-    let seen = |seen_ms| EndedUnder {
-        run: EndedRun { endpoint: "e0".into(), born: 0, seen_ms },
+    let mut records = SuspectTable::default();
+    let seen = |seen_ms| CrashReport {
+        run: CrashedRun { endpoint: "e0".into(), started_at: 0, detected_ms: seen_ms },
         ..ended(1, 0, false)
     };
 
     for seen_ms in [10_000, 10_400, 10_000, 14_000] {
-        records.ended(&seen(seen_ms), UnixMillis(0));
+        records.record_crash(&seen(seen_ms), UnixMillis(0));
     }
 
-    expect_that!(records.standing(&request(1)).ended, eq(2));
+    expect_that!(records.crash_counts(&request(1)).total, eq(2));
 }
 
 #[gtest]
@@ -91,7 +93,7 @@
 
     expect_that!(cleared.changed, some(anything()));
     expect_that!(again.changed, none());
-    expect_that!(records.standing(&request(1)).is_suspect(), eq(false));
+    expect_that!(records.crash_counts(&request(1)).is_suspect(), eq(false));
 }
 
 #[gtest]
@@ -99,14 +101,14 @@
     let mut suspect = after(2, 1, 0);
     let mut quarantined = after(3, 2, 0);
 
-    suspect.age(UnixMillis(HOUR / 6));
-    quarantined.age(UnixMillis(HOUR - 1));
+    suspect.expire(UnixMillis(HOUR / 6));
+    quarantined.expire(UnixMillis(HOUR - 1));
     let before = is_quarantined(&quarantined);
-    quarantined.age(UnixMillis(HOUR));
+    quarantined.expire(UnixMillis(HOUR));
     let after_it = is_quarantined(&quarantined);
-    quarantined.ended(&ended(1, 9, true), UnixMillis(HOUR + 1));
+    quarantined.record_crash(&ended(1, 9, true), UnixMillis(HOUR + 1));
 
-    expect_that!(suspect.standing(&request(1)).is_suspect(), eq(false));
+    expect_that!(suspect.crash_counts(&request(1)).is_suspect(), eq(false));
     expect_that!(before, eq(true));
     expect_that!(after_it, eq(false));
     expect_that!(is_quarantined(&quarantined), eq(true));
@@ -118,11 +120,11 @@
     let other = |number: u32| {
         let mut digest = [0; 16];
         digest[..4].copy_from_slice(&number.to_be_bytes());
-        EndedUnder { request: Bytes::copy_from_slice(&digest), ..ended(0, 100, false) }
+        CrashReport { request: Bytes::copy_from_slice(&digest), ..ended(0, 100, false) }
     };
 
     for number in 0..5_000 {
-        records.ended(&other(number), UnixMillis(1 + u64::from(number)));
+        records.record_crash(&other(number), UnixMillis(1 + u64::from(number)));
     }
 
     expect_that!(records.all().len(), eq(4_096));
@@ -130,10 +132,10 @@
 }
 
 /// Tells a daemon what it lacks until it lacks nothing.
-fn tell(records: &Records, known: &mut Known) {
+fn tell(records: &SuspectTable, known: &mut SuspectCache) {
     loop {
-        let news = records.news(known.state());
-        known.take(&news);
+        let news = records.changes_since(known.state());
+        known.apply(&news);
         if !news.more {
             return;
         }
@@ -169,30 +171,30 @@
     /// Whatever happens in whatever order, a daemon that was told last knows how each request stands.
     #[test]
     fn a_daemon_knows_what_is_on_record(steps in steps()) {
-        let (mut records, mut known, mut now) = (Records::default(), Known::default(), 0);
+        let (mut records, mut known, mut now) = (SuspectTable::default(), SuspectCache::default(), 0);
         for step in steps {
             match step {
                 Step::Ended(number, endpoint, in_trial) => {
-                    records.ended(&ended(number, endpoint, in_trial), UnixMillis(now));
+                    records.record_crash(&ended(number, endpoint, in_trial), UnixMillis(now));
                 }
                 Step::Clear(number) => {
                     records.clear(&ClearRequest { request: bytes(number) });
                 }
                 Step::Age(by) => {
                     now += by;
-                    records.age(UnixMillis(now));
+                    records.expire(UnixMillis(now));
                 }
                 Step::Tell { restarted, snapshot } => {
                     if restarted {
-                        known = Known::default();
+                        known = SuspectCache::default();
                     }
                     if snapshot {
-                        records = Records::decode(records.encode());
+                        records = SuspectTable::decode(records.encode());
                     }
                     tell(&records, &mut known);
                     for number in 0..6 {
                         let request = request(number);
-                        prop_assert_eq!(known.standing(&request), records.standing(&request));
+                        prop_assert_eq!(known.crash_counts(&request), records.crash_counts(&request));
                     }
                 }
             }
@@ -202,16 +204,16 @@
 
 #[gtest]
 fn many_changes_are_told_in_several_messages() {
-    let mut records = Records::default();
+    let mut records = SuspectTable::default();
     for number in 0..1_000u32 {
         let mut digest = [0; 16];
         digest[..4].copy_from_slice(&number.to_be_bytes());
-        let ended = EndedUnder { request: Bytes::copy_from_slice(&digest), ..ended(0, 0, false) };
-        records.ended(&ended, UnixMillis(0));
+        let ended = CrashReport { request: Bytes::copy_from_slice(&digest), ..ended(0, 0, false) };
+        records.record_crash(&ended, UnixMillis(0));
     }
-    let mut known = Known::default();
+    let mut known = SuspectCache::default();
 
-    let first = records.news(known.state());
+    let first = records.changes_since(known.state());
     tell(&records, &mut known);
 
     expect_that!(first.changes.len(), eq(256));
--- a/crates/core/src/quarantine/trials.rs
+++ b/crates/core/src/quarantine/trial_queue.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use super::{Records, RequestDigest, Standing};
+use super::{CrashCounts, RequestDigest, SuspectTable};
 use crate::units::Instant;
 
 /// Time in which a new leader only listens.
@@ -19,7 +19,7 @@
 
 /// Who asks for a trial.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Asker {
+pub(crate) struct AttemptId {
     /// The daemon.
     pub(crate) vm: Arc<str>,
     /// Its number for the try.
@@ -28,13 +28,13 @@
 
 /// What an asker is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Permission {
+pub(crate) enum TrialDecision {
     /// Its try may run, as the only one, and apart from other requests if so.
-    Granted { apart: bool },
+    Granted { isolated: bool },
     /// The request is sent to no endpoint.
     Quarantined,
     /// It is no suspect any more.
-    Clear,
+    Cleared,
     /// Too many wait.
     Busy,
 }
@@ -42,15 +42,15 @@
 /// A try that waits.
 #[derive(Debug)]
 struct Waiting {
-    asker: Asker,
+    asker: AttemptId,
     /// How the request stands as its daemon knows: an end that it has told may not be on record yet.
-    standing: Standing,
+    standing: CrashCounts,
 }
 
 /// The tries of one request.
 #[derive(Debug, Default)]
 struct Line {
-    running: Option<Asker>,
+    running: Option<AttemptId>,
     waiting: VecDeque<Waiting>,
     /// Whether it has been on record since the first asked.
     recorded: bool,
@@ -58,73 +58,77 @@
 
 /// The tries of all suspects.
 #[derive(Debug)]
-pub(crate) struct Trials {
+pub(crate) struct TrialQueue {
     open_at: Instant,
     lines: BTreeMap<RequestDigest, Line>,
 }
 
-impl Trials {
+impl TrialQueue {
     /// Without any, on a leader that leads since now.
-    pub(crate) fn new(now: Instant) -> Trials {
-        Trials { open_at: now.after(LISTEN), lines: BTreeMap::new() }
+    pub(crate) fn new(now: Instant) -> TrialQueue {
+        TrialQueue { open_at: now.after(LISTEN), lines: BTreeMap::new() }
     }
 
-    /// When [`Trials::decide`] must be called even without other input.
+    /// When [`TrialQueue::decide`] must be called even without other input.
     pub(crate) fn next_decision(&self, now: Instant) -> Option<Instant> {
         let waits = self.lines.values().any(|line| !line.waiting.is_empty());
         (waits && now < self.open_at).then_some(self.open_at)
     }
 
     /// Takes a try that waits. One that is known is not taken again.
-    pub(crate) fn ask(
+    pub(crate) fn request(
         &mut self,
         request: RequestDigest,
-        asker: Asker,
-        standing: Standing,
-    ) -> Option<Permission> {
+        asker: AttemptId,
+        standing: CrashCounts,
+    ) -> Option<TrialDecision> {
         let line = self.lines.entry(request).or_default();
         let runs = line.running.as_ref() == Some(&asker);
         if runs || line.waiting.iter().any(|waiting| waiting.asker == asker) {
             return None;
         }
         if MAX_WAITING <= line.waiting.len() {
-            return Some(Permission::Busy);
+            return Some(TrialDecision::Busy);
         }
         line.waiting.push_back(Waiting { asker, standing });
         None
     }
 
     /// Takes a try that a former leader has let run.
-    pub(crate) fn adopt(&mut self, request: RequestDigest, asker: Asker) {
+    pub(crate) fn adopt(&mut self, request: RequestDigest, asker: AttemptId) {
         let line = self.lines.entry(request).or_default();
         line.waiting.retain(|waiting| waiting.asker != asker);
         line.running.get_or_insert(asker);
     }
 
     /// A try has ended, or is no longer wanted.
-    pub(crate) fn over(&mut self, asker: &Asker) {
+    pub(crate) fn finish(&mut self, asker: &AttemptId) {
         self.retain(|other| other != asker);
     }
 
     /// Forgets all tries of a daemon that is gone.
-    pub(crate) fn forget(&mut self, vm: &str) {
+    pub(crate) fn remove_daemon(&mut self, vm: &str) {
         self.retain(|asker| *asker.vm != *vm);
     }
 
     /// Tells the askers what can be told now.
-    pub(crate) fn decide(&mut self, records: &Records, now: Instant) -> Vec<(Asker, Permission)> {
+    pub(crate) fn decide(
+        &mut self,
+        records: &SuspectTable,
+        now: Instant,
+    ) -> Vec<(AttemptId, TrialDecision)> {
         if now < self.open_at {
             return Vec::new();
         }
         let mut told = Vec::new();
         for (request, line) in &mut self.lines {
-            line.decide(records.standing(request), &mut told);
+            line.decide(records.crash_counts(request), &mut told);
         }
         self.lines.retain(|_, line| !line.is_empty());
         told
     }
 
-    fn retain(&mut self, keep: impl Fn(&Asker) -> bool) {
+    fn retain(&mut self, keep: impl Fn(&AttemptId) -> bool) {
         for line in self.lines.values_mut() {
             line.running.take_if(|asker| !keep(asker));
             line.waiting.retain(|waiting| keep(&waiting.asker));
@@ -137,22 +141,22 @@
         self.running.is_none() && self.waiting.is_empty()
     }
 
-    fn decide(&mut self, recorded: Standing, told: &mut Vec<(Asker, Permission)>) {
+    fn decide(&mut self, recorded: CrashCounts, told: &mut Vec<(AttemptId, TrialDecision)>) {
         self.recorded |= recorded.is_suspect();
         if recorded.is_quarantined() {
-            self.tell_all(Permission::Quarantined, told);
+            self.tell_all(TrialDecision::Quarantined, told);
         } else if self.recorded && !recorded.is_suspect() {
-            self.tell_all(Permission::Clear, told);
+            self.tell_all(TrialDecision::Cleared, told);
         } else if self.running.is_none()
             && let Some(Waiting { asker, standing }) = self.waiting.pop_front()
         {
-            let apart = recorded.max(standing).runs_apart();
-            told.push((asker.clone(), Permission::Granted { apart }));
+            let isolated = recorded.max(standing).needs_isolation();
+            told.push((asker.clone(), TrialDecision::Granted { isolated }));
             self.running = Some(asker);
         }
     }
 
-    fn tell_all(&mut self, permission: Permission, told: &mut Vec<(Asker, Permission)>) {
+    fn tell_all(&mut self, permission: TrialDecision, told: &mut Vec<(AttemptId, TrialDecision)>) {
         told.extend(self.waiting.drain(..).map(|waiting| (waiting.asker, permission)));
     }
 }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -19,7 +19,7 @@
     agreement::{Entry, Payload},
     config::{ContentHash, Delta, Document, HashedSection, Section, SectionName},
     once::{Claim, ClaimResult, Claims, Settle},
-    quarantine::{Change, Records},
+    quarantine::{SuspectTable, SuspectUpdate},
     units::UnixMillis,
 };
 
@@ -151,7 +151,7 @@
 /// Parts of [`Command`].
 pub mod command {
     use super::{AgeSuspects, Claim, ConfigChange, HallOrder, Settle};
-    use crate::quarantine::{ClearRequest, EndedUnder};
+    use crate::quarantine::{ClearRequest, CrashReport};
 
     /// What a command does.
     #[derive(Clone, PartialEq, Eq, prost::Oneof)]
@@ -170,7 +170,7 @@
         Hall(HallOrder),
         /// Counts the end of an endpoint under a request.
         #[prost(message, tag = "5")]
-        Ended(EndedUnder),
+        Ended(CrashReport),
         /// Forgets the ends under a request.
         #[prost(message, tag = "6")]
         Clear(ClearRequest),
@@ -245,7 +245,7 @@
     /// An order about a data hall.
     Hall(HallResult),
     /// A change of what is known of suspects.
-    Suspects(Change),
+    Suspects(SuspectUpdate),
 }
 
 /// The state that the log makes.
@@ -256,7 +256,7 @@
     history: BTreeMap<u64, ContentHash>,
     claims: Claims,
     halls: Halls,
-    suspects: Records,
+    suspects: SuspectTable,
     now: UnixMillis,
 }
 
@@ -287,7 +287,7 @@
     }
 
     /// The requests under which endpoints have ended.
-    pub fn suspects(&self) -> &Records {
+    pub fn suspects(&self) -> &SuspectTable {
         &self.suspects
     }
 
@@ -320,9 +320,11 @@
                 Applied::Settled
             }
             command::Kind::Hall(order) => Applied::Hall(self.halls.order(&order)),
-            command::Kind::Ended(ended) => Applied::Suspects(self.suspects.ended(&ended, self.now)),
+            command::Kind::Ended(ended) => {
+                Applied::Suspects(self.suspects.record_crash(&ended, self.now))
+            }
             command::Kind::Clear(clear) => Applied::Suspects(self.suspects.clear(&clear)),
-            command::Kind::Age(AgeSuspects {}) => Applied::Suspects(self.suspects.age(self.now)),
+            command::Kind::Age(AgeSuspects {}) => Applied::Suspects(self.suspects.expire(self.now)),
         }
     }
 
--- a/crates/core/src/state/snapshot.rs
+++ b/crates/core/src/state/snapshot.rs
@@ -10,7 +10,7 @@
 use crate::{
     config::{ContentHash, Document},
     once::{Claims, EncodedClaims},
-    quarantine::{EncodedRecords, Records},
+    quarantine::{EncodedSuspectTable, SuspectTable},
     units::UnixMillis,
 };
 
@@ -35,7 +35,7 @@
     #[prost(message, optional, tag = "5")]
     halls: Option<EncodedHalls>,
     #[prost(message, optional, tag = "6")]
-    suspects: Option<EncodedRecords>,
+    suspects: Option<EncodedSuspectTable>,
 }
 
 impl State {
@@ -70,7 +70,7 @@
             history: history.collect(),
             claims: Claims::decode(encoded.claims),
             halls: encoded.halls.map(Halls::decode).unwrap_or_default(),
-            suspects: encoded.suspects.map(Records::decode).unwrap_or_default(),
+            suspects: encoded.suspects.map(SuspectTable::decode).unwrap_or_default(),
             now: UnixMillis(encoded.now_ms),
         })
     }
--- a/crates/core/src/wire/control.rs
+++ b/crates/core/src/wire/control.rs
@@ -6,7 +6,7 @@
 use super::{LimitWord, SuspectNews, SuspectsReply};
 use crate::{
     once::{Claim, Settle, StoredAnswer},
-    quarantine::{ClearRequest, EndedUnder},
+    quarantine::{ClearRequest, CrashReport},
     state::{ChangeId, ConfigChange, HallOrder, HallsOut},
 };
 
@@ -203,7 +203,7 @@
     Hall(HallOrder),
     /// Count the end of an endpoint under a request.
     #[prost(message, tag = "6")]
-    Ended(EndedUnder),
+    Ended(CrashReport),
     /// Forget the ends under a request.
     #[prost(message, tag = "7")]
     Clear(ClearRequest),
--- a/crates/core/src/wire/quarantine.rs
+++ b/crates/core/src/wire/quarantine.rs
@@ -67,7 +67,7 @@
     pub apart: bool,
 }
 
-/// Mirrors [`crate::quarantine::Permission`].
+/// Mirrors [`crate::quarantine::TrialDecision`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 pub enum TrialStatus {
     /// Too many tries wait.
--- a/crates/lab/src/suspects/cost.rs
+++ b/crates/lab/src/suspects/cost.rs
@@ -73,6 +73,6 @@
     let news = SuspectNews { after: 0, up_to: records, reset: false, more: false, changes };
     let clocks = Clocks { now: Instant(1), wall: UnixMillis(1) };
     node.handle(Input::Message("control".into(), Body::Suspects(news)), clocks);
-    assert_eq!(node.standing(&RequestDigest::default()).ended, 0);
+    assert_eq!(node.standing(&RequestDigest::default()).total, 0);
     node
 }
--- a/crates/server/src/relay/quarantine_turn.rs
+++ b/crates/server/src/relay/quarantine_turn.rs
@@ -4,7 +4,7 @@
 use trayswitch_core::{
     error::RequestError,
     node::Input,
-    quarantine::{PATIENCE, Standing, no_turn, quarantined},
+    quarantine::{CrashCounts, MAX_TRIAL_WAIT, quarantined, trial_wait_expired},
 };
 
 use super::{Job, QUEUE_TIME_DIVISOR, Relay};
@@ -13,12 +13,12 @@
     telemetry::EventId,
 };
 
-/// Permission to send one attempt.
+/// TrialDecision to send one attempt.
 pub(super) struct QuarantineTurn {
     /// The trial to run as, if the request is suspect.
     pub(super) trial: Option<Trial>,
     /// The request's standing when the turn was granted.
-    standing: Standing,
+    standing: CrashCounts,
 }
 
 impl QuarantineTurn {
@@ -29,7 +29,7 @@
 
     /// The turn of a request that is not suspect, or whose previous turn is over.
     pub(super) fn none() -> QuarantineTurn {
-        QuarantineTurn { trial: None, standing: Standing::default() }
+        QuarantineTurn { trial: None, standing: CrashCounts::default() }
     }
 
     /// Marks the trial as having begun to respond.
@@ -51,7 +51,7 @@
             self.log_trial(job, standing, "quarantined");
             return Err(quarantined());
         }
-        let limit = PATIENCE.min(job.time_left() / QUEUE_TIME_DIVISOR);
+        let limit = MAX_TRIAL_WAIT.min(job.time_left() / QUEUE_TIME_DIVISOR);
         let tried = self.node.try_suspect(job.digest(self), limit).await;
         let (result, turn) = match tried {
             Tried::Granted(trial) => {
@@ -60,7 +60,7 @@
             }
             Tried::Clear => ("clear", Ok(QuarantineTurn::none())),
             Tried::Quarantined => ("quarantined", Err(quarantined())),
-            Tried::NotNow if standing.runs_apart() => ("not_now", Err(no_turn())),
+            Tried::NotNow if standing.needs_isolation() => ("not_now", Err(trial_wait_expired())),
             // Most suspects are innocent bystanders of a crash, so they may run unsupervised
             // without a leader.
             Tried::NotNow => ("unwatched", Ok(QuarantineTurn { trial: None, standing })),
@@ -92,16 +92,16 @@
         }
     }
 
-    fn standing(&self, job: &Job) -> Standing {
+    fn standing(&self, job: &Job) -> CrashCounts {
         self.node.standing(|| job.digest(self))
     }
 
-    fn log_trial(&self, job: &Job, standing: Standing, answer: &str) {
+    fn log_trial(&self, job: &Job, standing: CrashCounts, answer: &str) {
         self.metrics.trial(answer);
         log::info!(
             event = EventId::TrialAsked.number(), id = job.caller.id.as_str(),
             request = job.digest(self).to_string().as_str(), end = answer,
-            ended = standing.ended, in_trials = standing.in_trials;
+            ended = standing.total, in_trials = standing.in_trials;
             "a turn was requested for a suspect request"
         );
     }
--- a/crates/server/src/runtime/mod.rs
+++ b/crates/server/src/runtime/mod.rs
@@ -30,7 +30,7 @@
     backoff::{Admission, BackoffTable},
     node::{ActiveConfig, CallId, Clocks, Input, Node, NodeOptions, NodeReply, Output, VmName},
     placement::Request,
-    quarantine::{DigestKey, RequestDigest, RequestIdentity, Standing},
+    quarantine::{CrashCounts, DigestKey, RequestDigest, RequestIdentity},
     registry::Registered,
     state::HallsOut,
     throttle::RateLimit,
@@ -179,9 +179,9 @@
 
     /// How a request stands under which endpoints may have ended; it is named only if there are any
     /// such requests.
-    pub(crate) fn standing(&self, digest: impl FnOnce() -> RequestDigest) -> Standing {
+    pub(crate) fn standing(&self, digest: impl FnOnce() -> RequestDigest) -> CrashCounts {
         let node = self.0.node.borrow();
-        if node.has_suspects() { node.standing(&digest()) } else { Standing::default() }
+        if node.has_suspects() { node.standing(&digest()) } else { CrashCounts::default() }
     }
 
     /// The limit that an endpoint names, if it does.
--- a/crates/server/src/runtime/sight.rs
+++ b/crates/server/src/runtime/sight.rs
@@ -4,7 +4,7 @@
 
 use trayswitch_core::{
     node::{SentChange, VmName},
-    quarantine::{Standing, Suspect},
+    quarantine::{CrashCounts, Suspect},
     throttle::{LimitChange, RateLimit, describe_limit},
 };
 
@@ -43,8 +43,8 @@
 /// Tells of what is on record about a request under which endpoints have ended.
 pub(super) fn suspect_changed(suspect: &Suspect) {
     let endpoints: Vec<&str> = suspect.runs.iter().map(|run| run.endpoint.as_str()).collect();
-    let Standing { ended, in_trials } = suspect.standing;
-    let end = match suspect.standing {
+    let CrashCounts { total: ended, in_trials } = suspect.crashes;
+    let end = match suspect.crashes {
         standing if standing.is_quarantined() => "quarantined",
         standing if standing.is_suspect() => "suspect",
         _ => "clear",
--- a/crates/trayswitchd/src/callers/permit.rs
+++ b/crates/trayswitchd/src/callers/permit.rs
@@ -11,7 +11,7 @@
 use trayswitch_core::{
     error::RequestError,
     node::{CallId, FailedAttempt, Input, NodeCall, NodeReply, ProbeOutcome, TrialAnswer},
-    quarantine::{PATIENCE, RequestDigest, no_turn, quarantined},
+    quarantine::{MAX_TRIAL_WAIT, RequestDigest, quarantined, trial_wait_expired},
 };
 
 use super::context::Callers;
@@ -67,8 +67,8 @@
             return Ok(Permit::free(node));
         }
         let call = node.view().next_call();
-        let question = NodeCall::Trial { request: *request, limit: PATIENCE };
-        match node.ask_as(call, question, PATIENCE + SLACK) {
+        let question = NodeCall::Trial { request: *request, limit: MAX_TRIAL_WAIT };
+        match node.ask_as(call, question, MAX_TRIAL_WAIT + SLACK) {
             Ok(NodeReply::Trial(TrialAnswer::Granted { isolated: apart })) => {
                 log::info!("{} request {request} runs as a trial", EventId::TrialAsked);
                 Ok(Permit::trial(node, call, apart))
@@ -77,7 +77,7 @@
             Ok(NodeReply::Trial(TrialAnswer::Quarantined)) => Err(quarantined()),
             _ => {
                 node.input(Input::TrialEnded { call, complete: false });
-                Err(no_turn())
+                Err(trial_wait_expired())
             }
         }
     }
--- a/crates/trayswitchd/src/node/actor.rs
+++ b/crates/trayswitchd/src/node/actor.rs
@@ -11,7 +11,7 @@
 use trayswitch_core::{
     agreement::Persist,
     node::{ActiveConfig, CallId, Clocks, Input, Node, NodeReply, Output, VmName},
-    quarantine::{Standing, Suspect},
+    quarantine::{CrashCounts, Suspect},
     units::{self, UnixMillis},
     wire::Body,
 };
@@ -203,16 +203,16 @@
 
 /// Tells of what is on record about a request under which endpoints have ended.
 fn note_suspect(suspect: &Suspect) {
-    let (event, request, Standing { ended, in_trials }) =
-        (EventId::SuspectChanged, suspect.request, suspect.standing);
+    let (event, request, CrashCounts { total: ended, in_trials }) =
+        (EventId::SuspectChanged, suspect.request, suspect.crashes);
     let endpoints: Vec<&str> = suspect.runs.iter().map(|run| run.endpoint.as_str()).collect();
     let endpoints = endpoints.join(", ");
-    if suspect.standing.is_quarantined() {
+    if suspect.crashes.is_quarantined() {
         log::warn!(
             "{event} request {request} is sent to no endpoint any more: {ended} have ended under it, \
              {in_trials} of them in trials: {endpoints}"
         );
-    } else if suspect.standing.is_suspect() {
+    } else if suspect.crashes.is_suspect() {
         log::info!("{event} {ended} endpoints have ended under request {request}: {endpoints}");
     } else {
         log::info!("{event} request {request} is no suspect any more");
--- a/crates/trayswitchd/src/operators/suspects.rs
+++ b/crates/trayswitchd/src/operators/suspects.rs
@@ -34,11 +34,11 @@
     fn from(suspect: Suspect) -> Shown {
         Shown {
             request: suspect.request.to_string(),
-            quarantined: suspect.standing.is_quarantined(),
-            ended: suspect.standing.ended,
-            in_trials: suspect.standing.in_trials,
+            quarantined: suspect.crashes.is_quarantined(),
+            ended: suspect.crashes.total,
+            in_trials: suspect.crashes.in_trials,
             endpoints: suspect.runs.into_iter().map(|run| run.endpoint).collect(),
-            last_ms: suspect.last.0,
+            last_ms: suspect.updated_at.0,
         }
     }
 }
