--- a/crates/core/src/placement/cold_start_tests.rs
+++ b/crates/core/src/placement/cold_start_tests.rs
@@ -18,7 +18,7 @@
 
 /// Requests per second that a cold endpoint handles.
 const COLD_RATE: u64 = 20;
-/// Requests per second at which a cold endpoint fails.
+/// Requests per second above which a cold endpoint fails.
 const OVERLOAD_RATE: usize = 35;
 
 fn cold_start() -> ColdStart {
@@ -62,15 +62,15 @@
 /// Maximum number of events within one second.
 fn max_per_second(times: &[Instant]) -> usize {
     let mut window = VecDeque::new();
-    let mut most = 0;
+    let mut max = 0;
     for at in times {
         window.push_back(*at);
         while window.front().is_some_and(|first| first.after(Duration::from_secs(1)) <= *at) {
             window.pop_front();
         }
-        most = most.max(window.len());
+        max = max.max(window.len());
     }
-    most
+    max
 }
 
 #[gtest]
@@ -165,7 +165,7 @@
 /// Times at which daemons without a scheduler send to `e0` while each always has a request queued.
 fn sent_by_daemons(daemons: u64, endpoints: usize, seed: u64) -> Vec<Instant> {
     let halls = vec!["a"; endpoints];
-    let mut alone: Vec<Scheduler> = (0..daemons)
+    let mut local_schedulers: Vec<Scheduler> = (0..daemons)
         .map(|daemon| {
             let mut scheduler = Scheduler::local(Disabled::default(), seed * 1_000 + daemon);
             scheduler.set_sender_role(SenderRole::one_of(daemons), ms(0));
@@ -179,10 +179,10 @@
     let mut times = Vec::new();
     for at in 0..300 {
         let now = ms(at * 10);
-        for scheduler in &mut alone {
+        for scheduler in &mut local_schedulers {
             let _ = scheduler.enqueue(request(at, 100, 100), now);
-            let to_first = sent(scheduler, now).into_iter().filter(|name| &**name == "e0");
-            times.extend(to_first.map(|_| now));
+            let to_e0 = sent(scheduler, now).into_iter().filter(|name| &**name == "e0");
+            times.extend(to_e0.map(|_| now));
         }
     }
     times
--- a/crates/core/src/placement/endpoint.rs
+++ b/crates/core/src/placement/endpoint.rs
@@ -71,10 +71,10 @@
             if max_tokens <= so_far + ahead {
                 continue;
             }
-            let chance = distribution.probability_beyond(so_far, ahead);
+            let probability = distribution.probability_beyond(so_far, ahead);
             let size = (prompt + so_far + ahead) as f64;
-            memory.mean[i] = chance * size;
-            memory.variance[i] = chance * (1.0 - chance) * size * size;
+            memory.mean[i] = probability * size;
+            memory.variance[i] = probability * (1.0 - probability) * size * size;
         }
         memory
     }
--- a/crates/core/src/placement/engine_choice_tests.rs
+++ b/crates/core/src/placement/engine_choice_tests.rs
@@ -129,11 +129,11 @@
 fn scheduler_reports_slow_engines() {
     let mut scheduler = scheduler(&["h", "h", "h"], MEMORY);
     for round in 0..6 {
-        for (engine, read_ms) in [400, 400, 600].into_iter().enumerate() {
-            let (number, begun) = (round * 10 + engine as u64, round * 1_000);
+        for (engine, prefill_ms) in [400, 400, 600].into_iter().enumerate() {
+            let (number, start_ms) = (round * 10 + engine as u64, round * 1_000);
             let req = request(number, 3_000, 1_100);
-            scheduler.place(req.clone(), &format!("e{engine}").into(), ms(begun));
-            scheduler.finish(req.ticket, 8, true, ms(begun + read_ms));
+            scheduler.place(req.clone(), &format!("e{engine}").into(), ms(start_ms));
+            scheduler.finish(req.ticket, 8, true, ms(start_ms + prefill_ms));
         }
     }
 
--- a/crates/core/src/placement/evacuation.rs
+++ b/crates/core/src/placement/evacuation.rs
@@ -1,8 +1,8 @@
 //! Moves running generations off endpoints that are leaving.
 //!
 //! Copies from one endpoint share its link, so each endpoint sends one generation at a time, the
-//! one with the highest gain first, and receives one at a time. The daemon switches a generation over only after
-//! its copy has arrived.
+//! one with the highest gain first, and receives one at a time. The daemon switches a generation
+//! over only after its copy has arrived.
 
 use std::{
     collections::{BTreeSet, HashMap},
--- a/crates/core/src/placement/forecast.rs
+++ b/crates/core/src/placement/forecast.rs
@@ -78,7 +78,7 @@
         if current <= 0.0 { 0.0 } else { (self.weight_at_least(so_far + ahead) / current).min(1.0) }
     }
 
-    /// Expected number of further tokens of a response with `so_far` tokens, which ends at `most` at
+    /// Expected number of further tokens of a response with `so_far` tokens, which ends at `max_tokens` at
     /// the latest.
     pub(crate) fn expected_remaining(&self, so_far: u64, max_tokens: u64) -> f64 {
         let current = self.weight_at_least(so_far);
--- a/crates/core/src/placement/handover.rs
+++ b/crates/core/src/placement/handover.rs
@@ -1,5 +1,5 @@
-//! Hand-over of generations after prefill, from endpoints with much pending prefill to endpoints
-//! with less.
+//! Hand-over of generations after prefill, from endpoints with a high prefill load to
+//! endpoints with a lower one.
 //!
 //! Generations are handed over only right after their first token, when the KV cache is smallest
 //! and the gain largest. Evacuations of leaving endpoints take precedence on every link.
--- a/crates/core/src/placement/isolation_tests.rs
+++ b/crates/core/src/placement/isolation_tests.rs
@@ -50,13 +50,13 @@
     let mut scheduler = busy(4, 1);
     let at = start(&mut scheduler, vec![isolated(1)], 10).remove(0).1;
 
-    let beside = start(&mut scheduler, plain(2..40), 20);
+    let before_first_event = start(&mut scheduler, plain(2..40), 20);
     scheduler.progress(isolated(1).ticket, 4, ms(30));
     let after_first_event = start(&mut scheduler, plain(40..60), 40);
     scheduler.progress(isolated(1).ticket, 32, ms(50));
     let after = start(&mut scheduler, plain(60..100), 60);
 
-    expect_that!(beside.iter().filter(|(_, endpoint)| *endpoint == at).count(), eq(0));
+    expect_that!(before_first_event.iter().filter(|(_, endpoint)| *endpoint == at).count(), eq(0));
     expect_that!(after_first_event.iter().filter(|(_, endpoint)| *endpoint == at).count(), eq(0));
     expect_that!(after.iter().filter(|(_, endpoint)| *endpoint == at).count(), gt(0));
 }
@@ -79,13 +79,13 @@
 #[gtest]
 fn starts_on_the_least_loaded_engine() {
     let mut scheduler = busy(4, 3);
-    let emptied: Vec<_> =
+    let running_before: Vec<_> =
         (0..4).map(|i| scheduler.endpoint(&format!("e{i}")).unwrap().running()).collect();
     let at = start(&mut scheduler, vec![isolated(1)], 10).remove(0).1;
 
-    let of_it = scheduler.endpoint(&at).unwrap().running() - 1;
+    let others_on_engine = scheduler.endpoint(&at).unwrap().running() - 1;
 
-    expect_that!(of_it, eq(*emptied.iter().min().unwrap()));
+    expect_that!(others_on_engine, eq(*running_before.iter().min().unwrap()));
 }
 
 #[gtest]
@@ -131,18 +131,18 @@
     let mut scheduler = busy(2, 0);
     let before = start(&mut scheduler, plain(10..20), 0);
     expect_that!(start(&mut scheduler, vec![isolated(1)], 10), is_empty());
-    let kept = ["e0", "e1"]
+    let reserved = ["e0", "e1"]
         .into_iter()
         .find(|name| !scheduler.endpoint(name).unwrap().is_available(ms(10)));
 
-    scheduler.endpoint_failed(kept.unwrap(), ms(20));
+    scheduler.endpoint_failed(reserved.unwrap(), ms(20));
     for (number, _) in &before {
         scheduler.progress(request(*number, 0, 0).ticket, 4, ms(20));
     }
     let started = decide(&mut scheduler, 20);
 
     expect_that!(started.len(), eq(1));
-    expect_that!(started[0].1.as_str(), not(eq(kept.unwrap())));
+    expect_that!(started[0].1.as_str(), not(eq(reserved.unwrap())));
 }
 
 #[gtest]
--- a/crates/core/src/placement/prefill_tests.rs
+++ b/crates/core/src/placement/prefill_tests.rs
@@ -99,31 +99,31 @@
 
 #[gtest]
 fn prefill_speed_follows_first_token_intervals() {
-    let mut reading = PrefillQueue::default();
+    let mut prefill = PrefillQueue::default();
     let ticket = |number| Ticket { entry: 1, number };
     for number in 0..8 {
-        reading.push(ticket(number), 3_500, ms(0));
+        prefill.push(ticket(number), 3_500, ms(0));
     }
     for number in 0..8 {
-        reading.on_first_token(ticket(number), ms((number + 1) * 1_000));
+        prefill.on_first_token(ticket(number), ms((number + 1) * 1_000));
     }
 
-    expect_that!(reading.remaining_time(ms(8_000)), eq(Duration::ZERO));
-    let seconds = reading.time_for(7_000).as_secs_f64();
+    expect_that!(prefill.remaining_time(ms(8_000)), eq(Duration::ZERO));
+    let seconds = prefill.time_for(7_000).as_secs_f64();
     expect_that!(seconds, near(2.0, 0.05));
 }
 
 #[gtest]
 fn prefill_order_does_not_affect_speed() {
-    let mut reading = PrefillQueue::default();
+    let mut prefill = PrefillQueue::default();
     let ticket = |number| Ticket { entry: 1, number };
-    reading.push(ticket(1), 3_500, ms(0));
-    reading.push(ticket(2), 3_500, ms(0));
+    prefill.push(ticket(1), 3_500, ms(0));
+    prefill.push(ticket(2), 3_500, ms(0));
 
-    reading.on_first_token(ticket(2), ms(500));
-    reading.on_first_token(ticket(1), ms(1_000));
+    prefill.on_first_token(ticket(2), ms(500));
+    prefill.on_first_token(ticket(1), ms(1_000));
 
-    let seconds = reading.time_for(7_000).as_secs_f64();
+    let seconds = prefill.time_for(7_000).as_secs_f64();
     expect_that!(seconds, near(1.0, 0.05));
 }
 
@@ -136,19 +136,19 @@
         tokens in 100u64..5_000,
         gap_ms in 50u64..1_000,
     ) {
-        let mut reading = PrefillQueue::default();
+        let mut prefill = PrefillQueue::default();
         let mut now = 0;
         for _ in 0..(20_000 / gap_ms).max(20) {
             now += gap_ms;
-            reading.push(Ticket { entry: 1, number: now }, tokens, ms(now));
+            prefill.push(Ticket { entry: 1, number: now }, tokens, ms(now));
         }
 
-        let part = reading.utilization(ms(now + gap_ms / 2));
-        let given = tokens as f64 / 14.0 / gap_ms as f64;
+        let utilization = prefill.utilization(ms(now + gap_ms / 2));
+        let expected = tokens as f64 / 14.0 / gap_ms as f64;
 
-        prop_assert!((part / given - 1.0).abs() < 0.3, "{part} for {given}");
-        prop_assert!(reading.utilization(ms(now + 20_000)) < given * 0.01);
-        prop_assert!(prefill_time(tokens) <= reading.remaining_time(ms(now)));
+        prop_assert!((utilization / expected - 1.0).abs() < 0.3, "{utilization} for {expected}");
+        prop_assert!(prefill.utilization(ms(now + 20_000)) < expected * 0.01);
+        prop_assert!(prefill_time(tokens) <= prefill.remaining_time(ms(now)));
     }
 }
 
@@ -159,7 +159,7 @@
         scheduler.adopt(request(number, 10, 2_000), "e0", 1, ms(1));
         scheduler.finish(Ticket { entry: 1, number }, 100 + number * 5, true, ms(1));
     }
-    let chance = |seconds| {
+    let probability = |seconds| {
         scheduler.completion_probability(
             &request(1_000, 700, 2_000),
             Duration::from_secs(seconds),
@@ -167,7 +167,7 @@
         )
     };
 
-    expect_that!(chance(1), lt(0.1));
-    expect_that!(chance(5), all![gt(0.4), lt(0.7)]);
-    expect_that!(chance(15), gt(0.9));
+    expect_that!(probability(1), lt(0.1));
+    expect_that!(probability(5), all![gt(0.4), lt(0.7)]);
+    expect_that!(probability(15), gt(0.9));
 }
--- a/crates/core/src/placement/ttft_tests.rs
+++ b/crates/core/src/placement/ttft_tests.rs
@@ -64,11 +64,11 @@
 
     scheduler.progress(Ticket { entry: 1, number: 1_001 }, 1, ms(300));
     scheduler.progress(Ticket { entry: 1, number: 1_002 }, 1, ms(600));
-    let of_three = starts(&mut scheduler, ms(610));
+    let of_waiting = starts(&mut scheduler, ms(610));
     scheduler.enqueue(Request { rank: 0, ..prefill_request(2, 200) }, ms(610)).unwrap();
     let of_new = starts(&mut scheduler, ms(611));
 
-    expect_that!(of_three, is_empty());
+    expect_that!(of_waiting, is_empty());
     expect_that!(of_new, eq(&vec![(2, "e0".to_owned())]));
 }
 
@@ -99,31 +99,31 @@
 /// the number of responses.
 fn max_ttft(endpoints: usize, gaps: &[(u64, u64)]) -> (u64, usize) {
     let mut scheduler = scheduler(&vec!["h"; endpoints], 10_000_000);
-    let mut coming: VecDeque<(u64, u64)> = VecDeque::new();
+    let mut arrivals: VecDeque<(u64, u64)> = VecDeque::new();
     let mut at = 0;
     for (gap, size) in gaps {
         at += gap;
-        coming.push_back((at, *size));
+        arrivals.push_back((at, *size));
     }
     let mut pending: Vec<VecDeque<(u64, u64)>> = vec![VecDeque::new(); endpoints];
     let mut arrived = std::collections::HashMap::new();
-    let (mut longest, mut answers, mut number) = (0, 0, 0);
+    let (mut max_ttft_ms, mut responses, mut number) = (0, 0, 0);
     for now in 0..at + 3_000 {
-        while coming.front().is_some_and(|(at, _)| *at <= now) {
-            let (_, size) = coming.pop_front().unwrap();
+        while arrivals.front().is_some_and(|(at, _)| *at <= now) {
+            let (_, size) = arrivals.pop_front().unwrap();
             number += 1;
             arrived.insert(number, (now, size));
             let _ = scheduler.enqueue(prefill_request(number, size), ms(now));
         }
         for prompts in &mut pending {
-            let Some((number, left)) = prompts.front_mut() else { continue };
-            *left -= 1;
-            if *left == 0 {
+            let Some((number, remaining_ms)) = prompts.front_mut() else { continue };
+            *remaining_ms -= 1;
+            if *remaining_ms == 0 {
                 let ticket = Ticket { entry: 1, number: *number };
                 scheduler.progress(ticket, 1, ms(now));
                 scheduler.finish(ticket, 1, true, ms(now));
-                longest = longest.max(now - arrived[number].0);
-                answers += 1;
+                max_ttft_ms = max_ttft_ms.max(now - arrived[number].0);
+                responses += 1;
                 prompts.pop_front();
             }
         }
@@ -132,7 +132,7 @@
             pending[at].push_back((number, arrived[&number].1));
         }
     }
-    (longest, answers)
+    (max_ttft_ms, responses)
 }
 
 proptest! {
@@ -144,9 +144,9 @@
         gaps in proptest::collection::vec((0u64..120, 20u64..400), 20..200),
         endpoints in 1usize..4,
     ) {
-        let (longest, answers) = max_ttft(endpoints, &gaps);
+        let (max_ttft_ms, responses) = max_ttft(endpoints, &gaps);
 
-        prop_assert!(longest <= TTFT_TARGET.as_millis() as u64 + 20, "{longest} ms");
-        prop_assert!(0 < answers);
+        prop_assert!(max_ttft_ms <= TTFT_TARGET.as_millis() as u64 + 20, "{max_ttft_ms} ms");
+        prop_assert!(0 < responses);
     }
 }
