--- a/crates/core/src/node/broadcast.rs
+++ b/crates/core/src/node/broadcast.rs
@@ -1,26 +1,26 @@
-//! Names of endpoints of which all daemons are to be told, a few at a time.
+//! Endpoints whose changes are broadcast to all daemons in limited batches.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
 use super::news_batch;
 use crate::units::Instant;
 
-/// Daemons are told no more often than this; an endpoint may say something else in each answer.
+/// Minimum interval between broadcasts; an endpoint may report a change with every answer.
 const PAUSE: Duration = Duration::from_millis(200);
-/// Endpoints in one message: 2 kB.
+/// Maximum number of endpoints in one message.
 const AT_ONCE: usize = 32;
 
-/// The endpoints that are news to all daemons.
+/// The endpoints to include in the next broadcasts.
 #[derive(Debug, Default)]
 pub(super) struct Broadcast {
     news: VecDeque<Arc<str>>,
-    /// When daemons are told, if of any.
+    /// When the next broadcast is due, if endpoints are waiting.
     due: Option<Instant>,
     last_told: Instant,
 }
 
 impl Broadcast {
-    /// Adds an endpoint, unless it waits already.
+    /// Adds an endpoint unless it is waiting already.
     pub(super) fn add(&mut self, endpoint: &Arc<str>, now: Instant) {
         if !self.news.contains(endpoint) {
             self.news.push_back(endpoint.clone());
@@ -32,7 +32,7 @@
         self.due
     }
 
-    /// The endpoints of which so many daemons are to be told now.
+    /// Takes the endpoints to broadcast now to this number of daemons.
     pub(super) fn take_due(&mut self, daemons: usize, now: Instant) -> Vec<Arc<str>> {
         if self.due.take_if(|at| *at <= now).is_none() {
             return Vec::new();
--- a/crates/core/src/node/config_changes.rs
+++ b/crates/core/src/node/config_changes.rs
@@ -1,8 +1,7 @@
-//! Accepted changes of the configuration, cut into pieces that daemons fetch.
+//! Accepted configuration changes, encoded in pieces that daemons fetch.
 //!
-//! A piece is made once, when the first daemon asks for it, and is the same bytes for all. So a
-//! change of a megabyte is never encoded or sent in one go: nothing on the control VM's thread,
-//! and no heartbeat or grant on a daemon's link, waits for it.
+//! A piece is encoded on first request and shared by all daemons. Encoding and sending piece by piece
+//! keeps large changes from blocking the control VM's thread, or heartbeats and grants on a link.
 
 use std::{
     collections::{VecDeque, btree_map},
@@ -22,20 +21,19 @@
     wire::{Fetch, Piece},
 };
 
-/// A piece takes sections until it has this many bytes. It keeps a link of 10 Mbit/s busy for 13 ms
-/// and the thread of a VM of 0.12 cores for 3 ms; both are well under the time between two tokens.
+/// Encoded size at which a piece is closed. Encoding and sending one takes less than the time between
+/// two tokens on the smallest VMs and links.
 pub(crate) const PIECE_BYTES: usize = 16 * 1024;
-/// Changes that are kept for daemons behind by some versions, in bytes of the log; a daemon that
-/// lacks more is sent the whole document. A document of 4,250 routes has 2 MB.
+/// Log bytes of recent changes that are kept; a daemon that is further behind fetches the whole document.
 const MAX_RECENT_BYTES: usize = 4 * 1024 * 1024;
-/// A change made for daemons further behind that none has asked for in this time is dropped:
-/// several times what a daemon waits for a piece.
+/// Merged changes that no daemon has fetched from for this long are dropped. Several times the timeout
+/// of a daemon that waits for a piece.
 const MERGED_TTL: Duration = Duration::from_secs(5);
-/// Most such changes that are kept in pieces. Daemons that start, or fall behind, while versions
-/// follow each other lack different ones. With documents of 2 MB they are 32 MB.
+/// Maximum number of merged changes kept; daemons that are behind by different versions need different
+/// ones.
 const MAX_MERGED: usize = 16;
 
-/// A change and the pieces of it that have been made.
+/// A change and the pieces of it encoded so far.
 #[derive(Debug)]
 struct EncodedChange {
     id: ChangeId,
@@ -51,7 +49,7 @@
         EncodedChange { id, pieces: Vec::new(), changed, removed }
     }
 
-    /// The whole accepted document, as a change of the empty one.
+    /// The whole accepted document as a change of the empty one.
     fn whole(state: &State) -> EncodedChange {
         let hash = Bytes::copy_from_slice(&state.hash().0);
         let id = ChangeId { version: state.version(), base: 0, hash };
@@ -61,7 +59,7 @@
         })
     }
 
-    /// Whether pieces are left to be made; there is always a first one.
+    /// Whether there are pieces left to encode. Every change has at least one.
     fn has_more(&self) -> bool {
         let left = 0 < self.changed.len() || 0 < self.removed.len();
         left || self.pieces.is_empty()
@@ -86,7 +84,7 @@
         self.pieces.push(Bytes::from(piece.encode_to_vec()));
     }
 
-    /// The piece of this number, if there is one.
+    /// The piece with this number, if there is one.
     fn piece(&mut self, number: u64) -> Option<Piece> {
         let at = usize::try_from(number).ok()?;
         while self.pieces.len() <= at && self.has_more() {
@@ -98,7 +96,7 @@
     }
 }
 
-/// An accepted change and the bytes that it takes in the log.
+/// An accepted change and its size in the log.
 #[derive(Debug)]
 struct RecentChange {
     delta: Delta,
@@ -106,30 +104,30 @@
     bytes: usize,
 }
 
-/// A change made for daemons that lack more than the latest one, and when one last asked for a
-/// piece of it.
+/// Several consecutive changes as one, or the whole document, for daemons that are behind by more than
+/// the latest change.
 #[derive(Debug)]
 struct MergedChange {
     encoded: EncodedChange,
     last_used: Instant,
 }
 
-/// What daemons may fetch.
+/// The changes that daemons can fetch.
 #[derive(Debug, Default)]
 pub(super) struct ConfigChanges {
-    /// Accepted changes, oldest first; each goes on from the one before.
+    /// Consecutive accepted changes, oldest first.
     recent: VecDeque<RecentChange>,
     recent_bytes: usize,
-    /// Several of them together and whole documents, the one that was asked for last at the end.
+    /// Least recently used first.
     merged: Vec<MergedChange>,
 }
 
 impl ConfigChanges {
-    /// Notes an accepted change, which takes this many bytes in the log.
+    /// Adds an accepted change with its size in the log.
     pub(super) fn push(&mut self, change: AcceptedChange, bytes: usize) {
-        let before = self.recent.back().map(|recent| recent.encoded.id.version);
-        if before.is_some_and(|before| before != change.id.base) {
-            // A snapshot came between: what is kept leads nowhere.
+        let latest = self.recent.back().map(|recent| recent.encoded.id.version);
+        if latest.is_some_and(|latest| latest != change.id.base) {
+            // A snapshot skipped versions, so the older changes no longer lead to the current one.
             self.recent.clear();
             self.recent_bytes = 0;
         }
@@ -144,14 +142,14 @@
         }
     }
 
-    /// The latest change, encoded, if one piece holds all of it.
+    /// The latest change, encoded, if it fits in one piece.
     pub(super) fn latest_if_small(&mut self) -> Option<Bytes> {
         let latest = &mut self.recent.back_mut()?.encoded;
         latest.piece(0).filter(|piece| piece.last).map(|piece| piece.delta)
     }
 
-    /// The pieces that a daemon asks for: of all that it lacks in one change, or of the whole
-    /// document if that is not kept. Nothing if it has the newest.
+    /// The requested pieces of one change to the accepted version, or of the whole document if the
+    /// changes since the daemon's version are no longer kept. `None` if the daemon is up to date.
     pub(super) fn answer(
         &mut self,
         fetch: &Fetch,
@@ -160,7 +158,7 @@
     ) -> Option<Vec<Piece>> {
         let encoded = self.find(fetch, state, now)?;
         let is_continuation = fetch.begun.as_ref() == Some(&encoded.id);
-        // A daemon that asked for one more piece of another change lacks all ahead of this one.
+        // A daemon that has begun another change needs this one from its first piece.
         let (first, count) = if is_continuation {
             (fetch.first, fetch.count)
         } else {
@@ -170,6 +168,7 @@
         Some(numbers.map_while(|number| encoded.piece(number)).collect())
     }
 
+    /// The change to serve a fetch from: the one already begun, or one from the daemon's version.
     fn find(&mut self, fetch: &Fetch, state: &State, now: Instant) -> Option<&mut EncodedChange> {
         let is_begun = |id: &ChangeId| fetch.begun.as_ref() == Some(id);
         if let Some(at) = self.merged.iter().position(|merged| is_begun(&merged.encoded.id)) {
@@ -189,7 +188,7 @@
             |recent: &RecentChange| 0 < fetch.after && recent.encoded.id.base == fetch.after;
         self.merged.retain(|merged| now.since(merged.last_used) < MERGED_TTL);
         match self.recent.iter().position(follows) {
-            // A daemon that fetches one change after the other catches up as well, only later.
+            // With too many merged changes, the daemon catches up one change at a time.
             Some(at) if at + 1 == self.recent.len() || MAX_MERGED <= self.merged.len() => {
                 Some(&mut self.recent[at].encoded)
             }
@@ -198,10 +197,8 @@
         }
     }
 
-    /// All recent changes from this one on as one. So a daemon that is slower than changes follow
-    /// each other is behind by two fetches at most, and takes nothing that a later change makes
-    /// void: entries of 0.1 cores were thirteen versions behind when they took each change of
-    /// 1,400 routes that came every 0.3 s.
+    /// Merges the recent changes from this one on. A daemon slower than the rate of changes then skips
+    /// intermediate versions and stays at most two fetches behind.
     fn merge_from(&self, first: usize) -> EncodedChange {
         let recent = || self.recent.range(first..);
         let delta = Delta::together(recent().map(|recent| &recent.delta));
--- a/crates/core/src/node/config_fetch.rs
+++ b/crates/core/src/node/config_fetch.rs
@@ -1,7 +1,7 @@
-//! Fetching a change of the configuration from a control VM, piece by piece.
+//! Fetches a configuration change from a control VM, piece by piece.
 //!
-//! The daemon asks for a few pieces ahead and for one more with each that comes. So a change goes
-//! to each daemon once, as fast as that daemon takes it, and a control VM keeps nothing for it.
+//! The daemon requests a window of pieces and one more for each piece received. Control VMs keep no
+//! state per daemon, and each daemon receives a change at its own pace.
 
 use std::time::Duration;
 
@@ -16,43 +16,42 @@
 /// Pieces that are asked for ahead. Two keep a link of 10 Mbit/s busy over a round trip of 3 ms; a
 /// third covers a thread that is busy otherwise. What is under way keeps such a link busy for 40 ms.
 pub(super) const PREFETCH_PIECES: u64 = 3;
-/// Without a first piece for this long, another control VM is asked: one that is cut off from the
-/// leader has nothing to send. Five round trips and pieces on a link of 10 Mbit/s; each further
-/// control VM has as much longer, for a fleet in which all are slow.
+/// Timeout for the first piece, after which another control VM is tried: one that is partitioned from
+/// the leader has nothing to send. Grows with each source tried, in case all are slow.
 const FIRST_PIECE_TIMEOUT: Duration = Duration::from_millis(150);
-/// The same once pieces have come.
+/// Timeout for each further piece, and the upper bound for the first.
 const PIECE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A change that is being fetched.
+/// A fetch in progress.
 #[derive(Debug)]
 pub(super) struct ConfigFetch {
     from: VmName,
-    /// The version that it is to go on from; zero for a whole document.
+    /// Version that the change applies to; zero for a whole document.
     base: u64,
-    /// The change that the pieces belong to, once one has come.
+    /// The change being received, once a piece has arrived.
     change_id: Option<ChangeId>,
-    /// What the pieces hold that have come.
+    /// Contents of the pieces received so far.
     delta: Delta,
-    /// Number of the piece that is expected.
+    /// Number of the next piece to receive.
     next_piece: u64,
     last_activity: Instant,
-    /// Control VMs that were asked.
+    /// Number of control VMs tried.
     sources_tried: u32,
 }
 
-/// What came of a piece.
+/// Result of receiving a piece.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum PieceOutcome {
-    /// More are to come.
+    /// More pieces follow, or the piece was a duplicate.
     Partial,
-    /// The change is whole.
+    /// The change is complete.
     Complete(AcceptedChange),
-    /// It cannot be read.
+    /// The piece could not be decoded.
     Invalid,
 }
 
 impl ConfigFetch {
-    /// Begins to fetch what follows a version, or a whole document if that is zero.
+    /// Starts to fetch the changes since version `base`, or the whole document if that is zero.
     pub(super) fn start(from: VmName, base: u64, now: Instant, out: &mut Outbox) -> ConfigFetch {
         let (change_id, delta) = (None, Delta::default());
         let fetch = ConfigFetch {
@@ -68,27 +67,27 @@
         fetch
     }
 
-    /// The control VM that is asked.
+    /// The control VM currently fetched from.
     pub(super) fn from(&self) -> &VmName {
         &self.from
     }
 
-    /// The version that the change is to go on from.
+    /// Version that the change applies to; zero for a whole document.
     pub(super) fn base(&self) -> u64 {
         self.base
     }
 
-    /// When the control VM will have been silent for too long.
+    /// When the current source times out.
     pub(super) fn timeout_at(&self) -> Instant {
-        let patience = if self.next_piece == 0 {
+        let timeout = if self.next_piece == 0 {
             FIRST_PIECE_TIMEOUT * self.sources_tried
         } else {
             PIECE_TIMEOUT
         };
-        self.last_activity.after(patience.min(PIECE_TIMEOUT))
+        self.last_activity.after(timeout.min(PIECE_TIMEOUT))
     }
 
-    /// Goes on at another control VM, from the piece that is expected.
+    /// Continues at another control VM from the next piece.
     pub(super) fn switch_source(&mut self, from: VmName, now: Instant, out: &mut Outbox) {
         self.from = from;
         self.last_activity = now;
@@ -96,20 +95,20 @@
         self.request(self.next_piece, PREFETCH_PIECES, out);
     }
 
-    /// Takes a piece.
+    /// Adds a piece and requests another one.
     pub(super) fn on_piece(
         &mut self,
         piece: Piece,
         now: Instant,
         out: &mut Outbox,
     ) -> PieceOutcome {
-        let known = self.change_id.as_ref() == Some(&piece.change);
-        if !known && piece.number == 0 {
+        let is_current = self.change_id.as_ref() == Some(&piece.change);
+        if !is_current && piece.number == 0 {
             self.change_id = Some(piece.change.clone());
             self.delta = Delta::default();
             self.next_piece = 0;
-        } else if !known || piece.number != self.next_piece {
-            // Asked of a control VM before, or come twice.
+        } else if !is_current || piece.number != self.next_piece {
+            // A duplicate, or a late piece from an earlier source.
             return PieceOutcome::Partial;
         }
         self.last_activity = now;
--- a/crates/core/src/node/config_store.rs
+++ b/crates/core/src/node/config_store.rs
@@ -1,7 +1,7 @@
-//! Holds the configuration in force and brings newer ones in.
+//! Holds the active configuration and updates it.
 //!
-//! A small change comes with the leader's word that it was accepted. What is missing otherwise is
-//! fetched from a control VM in pieces. On a control VM it comes from its own replica.
+//! The leader's announcement of an accepted version includes its delta if that is small. Otherwise the
+//! daemon fetches the change from a control VM. On a control VM, the local replica provides it.
 
 use std::{
     collections::BTreeSet,
@@ -21,13 +21,13 @@
     wire::{Piece, Update},
 };
 
-/// Stands for a file's name where an accepted configuration is checked again.
+/// Used as the file name when an accepted configuration is checked.
 const ACCEPTED_CONFIG_NAME: &str = "accepted configuration";
-/// Pause after a change was fetched that cannot come into force, so that a daemon which takes no
-/// change asks for a whole document no more than a few times a second.
+/// Delay after fetching a change that could not be activated, so that a daemon which rejects changes
+/// does not keep fetching the whole document.
 const FETCH_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// A configuration in force.
+/// A checked configuration that is active on this daemon.
 #[derive(Debug)]
 pub struct ActiveConfig {
     /// Its version.
@@ -41,7 +41,7 @@
 }
 
 impl CheckedDocument {
-    /// The change that makes it of what is in force, if anything is.
+    /// The change from the active configuration, or from an empty one, to this document.
     pub fn change_from(&self, active_config: Option<&ActiveConfig>) -> ConfigChange {
         let nothing = Document::default();
         let (base, before) = active_config.map_or((0, &nothing), |f| (f.version, &f.document));
@@ -49,13 +49,13 @@
     }
 }
 
-/// The control VMs that a daemon may ask.
+/// The control VMs that a daemon can fetch from.
 pub(super) struct ConfigSources {
     /// The daemon's own VM.
     pub(super) vm: VmName,
     /// All control VMs.
     pub(super) replicas: Vec<VmName>,
-    /// VMs that are linked.
+    /// VMs with an established link.
     pub(super) links: BTreeSet<VmName>,
 }
 
@@ -64,8 +64,8 @@
         ConfigSources { vm: vm.clone(), replicas: replicas.to_vec(), links: BTreeSet::new() }
     }
 
-    /// The control VM to fetch from, after so many others. Each daemon prefers them in an order of
-    /// its own, so that all control VMs share the work for a fleet.
+    /// The control VM to fetch from after skipping this many. Each daemon orders them by its own hash,
+    /// which spreads a fleet's fetches over all control VMs.
     fn nth_preferred(&self, sources_skipped: usize) -> Option<VmName> {
         let mut sources: Vec<&VmName> =
             self.replicas.iter().filter(|vm| self.links.contains(*vm)).collect();
@@ -79,22 +79,22 @@
     }
 }
 
-/// The configuration in force and what is missing.
+/// The active configuration and the fetch of a newer one.
 pub(super) struct ConfigStore {
     active_config: Option<Arc<ActiveConfig>>,
-    /// Whether this VM has a control replica, which brings it what is accepted.
+    /// Whether accepted configurations come from a control replica on this VM.
     has_local_replica: bool,
-    /// The newest version that a leader has told of.
+    /// Newest version announced by a leader.
     newest_known: u64,
-    /// The version that was current at the first confirmation in this life of the daemon: an
-    /// older one may be older than what was in force before its start.
+    /// The version confirmed first since the daemon started. An older one could roll back what was
+    /// active before a restart.
     min_version: Option<u64>,
-    /// A version that this release does not take; a newer one may do.
+    /// A version that this release cannot use.
     rejected_version: Option<u64>,
     fetch: Option<ConfigFetch>,
-    /// How often another control VM had to be asked.
+    /// Number of times the source was changed.
     sources_skipped: usize,
-    /// Nothing is fetched before this.
+    /// No fetch starts before this.
     next_fetch_at: Instant,
 }
 
@@ -121,19 +121,18 @@
         self.active_config.as_ref().map(of).unwrap_or_default()
     }
 
-    /// From now on what is accepted comes from this VM's own control replica.
+    /// From now on, accepted configurations come from the control replica on this VM.
     pub(super) fn use_local_replica(&mut self) {
         self.has_local_replica = true;
     }
 
-    /// A leader has confirmed that this version was current at some moment of this daemon's life.
+    /// Handles a leader's confirmation that this version was current at some time since the daemon started.
     pub(super) fn on_version_confirmed(&mut self, version: u64) {
         self.min_version.get_or_insert(version);
         self.newest_known = self.newest_known.max(version);
     }
 
-    /// Takes a leader's word that a version was accepted, and what it changes if that comes with
-    /// it. Returns whether it came into force.
+    /// Handles the leader's announcement of an accepted version. Returns whether it was activated.
     pub(super) fn update(
         &mut self,
         update: Update,
@@ -161,8 +160,8 @@
         activated
     }
 
-    /// Takes a piece of the change that is being fetched, also from a control VM that was given up
-    /// meanwhile. Returns whether a configuration came into force.
+    /// Adds a piece to the current fetch, even if it comes from an earlier source. Returns whether a
+    /// configuration was activated.
     pub(super) fn piece(
         &mut self,
         piece: Piece,
@@ -186,7 +185,7 @@
         self.fetch = None;
         let activated = change.is_some_and(|change| self.apply(change, out));
         if !activated {
-            // That control VM is behind, or this release does not take the change.
+            // The source is behind, or this release cannot use the change.
             self.sources_skipped += 1;
             self.next_fetch_at = now.after(FETCH_RETRY_DELAY);
         }
@@ -194,8 +193,8 @@
         activated
     }
 
-    /// Takes what this VM's own control replica knows to be accepted. Returns whether it came
-    /// into force.
+    /// Activates the version accepted by the control replica on this VM if it is newer. Returns whether
+    /// it was activated.
     pub(super) fn load_accepted(&mut self, state: &State, out: &mut Outbox) -> bool {
         if !self.may_activate(state.version()) {
             return false;
@@ -207,7 +206,7 @@
         self.activate(version, state.document().clone(), &delta, out)
     }
 
-    /// Fetches the change that follows the version in force, if there is a newer one.
+    /// Starts to fetch the change to the newest version if that is not active and no fetch is running.
     pub(super) fn fetch_if_missing(
         &mut self,
         sources: &ConfigSources,
@@ -215,10 +214,10 @@
         out: &mut Outbox,
     ) {
         let known = self.version_hash().version.max(self.rejected_version.unwrap_or_default());
-        // No change leads on from a version that is refused; a whole document may.
+        // Deltas do not apply on top of a rejected version, so the whole document is fetched.
         let base = if self.rejected_version.is_some() { 0 } else { known };
         self.fetch.take_if(|fetch| fetch.base() != base);
-        // Before the first confirmation nothing may come into force.
+        // Nothing may be activated before the first confirmation.
         let is_known = self.active_config.is_some() || self.min_version.is_some();
         let is_missing = is_known && known < self.newest_known && !self.has_local_replica;
         if !is_missing || self.fetch.is_some() || now < self.next_fetch_at {
@@ -229,7 +228,7 @@
         }
     }
 
-    /// A control VM cannot be reached any more.
+    /// Handles the loss of the link to a control VM.
     pub(super) fn on_source_lost(
         &mut self,
         vm: &VmName,
@@ -242,7 +241,7 @@
         }
     }
 
-    /// When [`ConfigStore::tick`] next has something to do.
+    /// When [`ConfigStore::tick`] must be called next.
     pub(super) fn next_tick(&self) -> Option<Instant> {
         self.fetch.as_ref().map(ConfigFetch::timeout_at)
     }
@@ -261,14 +260,14 @@
         }
     }
 
-    /// Whether a version may come into force here: versions only rise, also over restarts.
+    /// Whether a version may be activated. Versions never decrease, not even across restarts.
     fn may_activate(&self, version: u64) -> bool {
         if self.rejected_version == Some(version) {
             return false;
         }
         match &self.active_config {
             Some(active_config) => active_config.version < version,
-            None => 0 < version && self.min_version.is_some_and(|oldest| oldest <= version),
+            None => 0 < version && self.min_version.is_some_and(|min| min <= version),
         }
     }
 
@@ -276,7 +275,7 @@
         self.active_config.as_ref().map(|f| f.document.clone()).unwrap_or_default()
     }
 
-    /// Brings a change into force if it goes on from what is, or is a whole document.
+    /// Activates a change if it applies to the active version or is a whole document.
     fn apply(&mut self, change: AcceptedChange, out: &mut Outbox) -> bool {
         let AcceptedChange { id, delta } = change;
         let is_incremental = id.base == self.version_hash().version;
@@ -295,7 +294,7 @@
         self.activate(VersionHash { version: id.version, hash }, document, &delta, out)
     }
 
-    /// Brings a document into force, which the delta makes of the one before.
+    /// Checks and activates a document; `delta` is its difference from the active one.
     fn activate(
         &mut self,
         version: VersionHash,
@@ -303,8 +302,8 @@
         delta: &Delta,
         out: &mut Outbox,
     ) -> bool {
-        // It was checked when it was submitted; a daemon of another release may still refuse
-        // it, and then shows itself stale.
+        // The document was checked on submission, but a daemon of another release may reject it. It
+        // then reports its configuration as stale.
         let config = match &self.active_config {
             Some(before) => before.config.updated(ACCEPTED_CONFIG_NAME, &document, delta),
             None => Config::check(ACCEPTED_CONFIG_NAME, &document),
--- a/crates/core/src/node/control_client/mod.rs
+++ b/crates/core/src/node/control_client/mod.rs
@@ -1,12 +1,10 @@
-//! The configuration in force on this daemon and the data halls that are out of service, and whether
-//! they are current.
+//! A daemon's client of the control replicas: tracks the leader, the active configuration and the data
+//! halls that are out of service, and whether they are current.
 //!
-//! The daemon polls the leader. The leader answers only after a quorum has
-//! confirmed that it still leads, so an answer was true at some moment after the
-//! poll was sent, by no clock but the daemon's own. A daemon without a
-//! configuration takes none that is older than what such an answer told it first,
-//! so a restart cannot bring an older one back. What a version holds is fetched from
-//! any control VM, and known by its hash.
+//! The daemon polls the leader, which replies once a quorum has confirmed that it still leads. A reply
+//! was therefore true at some time after the poll was sent, by the daemon's own clock. After a restart,
+//! a daemon activates no version older than the first one confirmed this way. Contents are fetched from
+//! any control VM and verified by their hash.
 
 mod polls;
 
@@ -26,15 +24,13 @@
     wire::{Piece, PollReply, Update},
 };
 
-/// A poll that is not answered in this many intervals goes to another replica.
-const PATIENCE: u32 = 2;
-/// Half intervals without an answer after which requests are placed without the scheduler: one poll
-/// that was not answered within half an interval. A retransmission on a link that loses packets may
-/// take as long; the few requests that come meanwhile are then placed alone. Three intervals kept
-/// requests waiting for up to 0.7 s for a leader that had lost power.
-const SILENT_HALVES: u32 = 3;
+/// Poll intervals without a reply after which another replica is polled.
+const POLL_TIMEOUT_INTERVALS: u32 = 2;
+/// Half poll intervals without a reply after which requests are placed without the scheduler. Three
+/// means that one poll went unanswered for half an interval.
+const SCHEDULER_TIMEOUT_HALF_INTERVALS: u32 = 3;
 
-/// The scheduler that this daemon's requests go to.
+/// The leader's scheduler, which places this daemon's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RemoteScheduler {
     /// VM of the leader.
@@ -43,57 +39,59 @@
     pub(crate) term: u64,
     /// Number of daemons that share the endpoints.
     pub(crate) daemons: u64,
-    /// Those that callers are sent to.
+    /// Number of daemons that receive callers.
     pub(crate) entries: EntryDaemons,
 }
 
-/// Daemons that callers are sent to.
+/// Number of daemons that load balancers send callers to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EntryDaemons {
-    /// Those that go on.
+    /// Daemons that accept callers.
     pub accepting: u64,
-    /// Those that stop, while callers are still sent to them.
+    /// Stopping daemons that still receive callers.
     pub stopping: u64,
 }
 
-/// What the leader has answered last, and when it was asked.
+/// The version in the leader's last reply.
 #[derive(Debug, Clone, Copy)]
-struct Vouched {
+struct ConfirmedVersion {
     current: VersionHash,
+    /// When the poll was sent.
     asked: Instant,
 }
 
-/// Keeps the configuration in force.
+/// A daemon's client of the control replicas.
 pub(crate) struct ControlClient {
     sources: ConfigSources,
     reads: PendingReads,
     timing: NodeTiming,
     config_store: ConfigStore,
-    changed: bool,
-    halls: HallsOut,
-    /// Halls that were given back since somebody last asked, if any order has come since.
-    halls_back: Option<Vec<String>>,
-    vouched: Option<Vouched>,
+    config_changed: bool,
+    halls_out: HallsOut,
+    /// Halls returned to service since the last [`ControlClient::take_restored_halls`], if there was a
+    /// change.
+    restored_halls: Option<Vec<String>>,
+    last_confirmation: Option<ConfirmedVersion>,
     leader: Option<RemoteScheduler>,
     leader_changed: bool,
-    /// A hint of who leads, from a replica that does not.
-    hint: Option<VmName>,
-    /// The replica to poll when nothing better is known.
+    /// Leader according to a replica that does not lead.
+    leader_hint: Option<VmName>,
+    /// Index of the replica to poll while no leader is known.
     next_replica: usize,
     nonce: u64,
     polls: Vec<SentPoll>,
     next_poll: Instant,
-    /// When time last passed here.
-    ticked: Instant,
+    last_tick: Instant,
     last_reply: Instant,
-    /// The configuration was current at this time; zero means never confirmed.
-    confirmed: Option<Instant>,
+    /// When the active configuration was last confirmed to be current.
+    confirmed_at: Option<Instant>,
     fresh: bool,
+    /// The confirmation time in the last [`Output::ConfigFreshness`].
     reported_confirmed: Option<Instant>,
     takes_callers: bool,
     stopping: bool,
-    /// What is known here of suspects, for polls.
-    suspects: SuspectCacheState,
+    /// How current this daemon's suspect cache is; sent with polls.
+    suspects_state: SuspectCacheState,
 }
 
 impl ControlClient {
@@ -103,25 +101,25 @@
             reads: PendingReads::default(),
             timing: options.timing,
             config_store: ConfigStore::new(now),
-            changed: false,
-            halls: HallsOut::default(),
-            halls_back: None,
-            vouched: None,
+            config_changed: false,
+            halls_out: HallsOut::default(),
+            restored_halls: None,
+            last_confirmation: None,
             leader: None,
             leader_changed: false,
-            hint: None,
+            leader_hint: None,
             next_replica: options.seed as usize,
             nonce: options.seed,
             polls: Vec::new(),
             next_poll: now,
-            ticked: now,
+            last_tick: now,
             last_reply: now,
-            confirmed: None,
+            confirmed_at: None,
             fresh: false,
             takes_callers: options.takes_callers,
             stopping: false,
             reported_confirmed: None,
-            suspects: SuspectCache::default().state(),
+            suspects_state: SuspectCache::default().state(),
         }
     }
 
@@ -133,28 +131,27 @@
         self.fresh
     }
 
-    /// The configuration, if it changed since the last call.
+    /// The active configuration if it changed since the last call.
     pub(crate) fn take_config_change(&mut self) -> Option<Arc<ActiveConfig>> {
-        std::mem::take(&mut self.changed).then(|| self.active_config().cloned()).flatten()
+        std::mem::take(&mut self.config_changed).then(|| self.active_config().cloned()).flatten()
     }
 
     /// The data halls that are out of service.
     pub(crate) fn halls_out(&self) -> &HallsOut {
-        &self.halls
+        &self.halls_out
     }
 
-    /// The halls that were given back since the last call, if other halls are out since then.
+    /// The halls returned to service since the last call, if the halls out of service changed.
     pub(crate) fn take_restored_halls(&mut self) -> Option<Vec<String>> {
-        self.halls_back.take()
+        self.restored_halls.take()
     }
 
-    /// Takes word of the data halls that are out of service. What an older order came to is nothing
-    /// new.
+    /// Updates the data halls that are out of service unless the message is outdated.
     pub(crate) fn update_halls_out(&mut self, halls: &HallsOut, out: &mut Outbox) {
-        if self.halls.number < halls.number {
-            let before = std::mem::replace(&mut self.halls, halls.clone());
+        if self.halls_out.number < halls.number {
+            let before = std::mem::replace(&mut self.halls_out, halls.clone());
             let back = before.names.into_iter().filter(|name| !halls.contains(name));
-            self.halls_back.get_or_insert_default().extend(back);
+            self.restored_halls.get_or_insert_default().extend(back);
             out.push(Output::HallsOut(halls.clone()));
         }
     }
@@ -165,40 +162,40 @@
         std::mem::take(&mut self.leader_changed).then(leader)
     }
 
-    /// VM of the leader, as far as known.
+    /// VM of the leader, if known.
     pub(crate) fn leader(&self) -> Option<&VmName> {
         self.leader.as_ref().map(|leader| &leader.vm)
     }
 
-    /// The scheduler, unless it has been silent for too long.
+    /// The leader's scheduler, unless its replies have timed out.
     pub(crate) fn scheduler(&self, now: Instant) -> Option<&RemoteScheduler> {
-        self.leader.as_ref().filter(|_| now < self.scheduler_is_silent_at())
+        self.leader.as_ref().filter(|_| now < self.scheduler_timeout_at())
     }
 
-    /// When the scheduler will have been silent for too long.
-    fn scheduler_is_silent_at(&self) -> Instant {
-        self.last_reply.after(self.timing.poll / 2 * SILENT_HALVES)
+    /// When the scheduler times out unless the leader replies.
+    fn scheduler_timeout_at(&self) -> Instant {
+        self.last_reply.after(self.timing.poll / 2 * SCHEDULER_TIMEOUT_HALF_INTERVALS)
     }
 
     pub(crate) fn next_tick(&self) -> Instant {
-        let silent = self.scheduler(self.ticked).map(|_| self.scheduler_is_silent_at());
+        let silent = self.scheduler(self.last_tick).map(|_| self.scheduler_timeout_at());
         let next = self.config_store.next_tick().into_iter().chain(silent).min();
         next.map_or(self.next_poll, |at| at.min(self.next_poll))
     }
 
-    /// From now on what is accepted comes from this VM's own control replica.
+    /// From now on, accepted configurations come from the control replica on this VM.
     pub(crate) fn use_local_replica(&mut self) {
         self.config_store.use_local_replica();
     }
 
-    /// Takes the control VMs that are known now.
+    /// Updates the known control VMs.
     pub(crate) fn set_replicas(&mut self, replicas: &[VmName]) {
         if self.sources.replicas != replicas {
             self.sources.replicas = replicas.to_vec();
         }
     }
 
-    /// Answers once a poll that was sent after now confirms what is asked for.
+    /// Replies to `call` with a value that was confirmed by a poll sent from now on.
     pub(crate) fn read(
         &mut self,
         call: CallId,
@@ -207,24 +204,25 @@
         now: Instant,
         out: &mut Outbox,
     ) {
-        self.reads.ask(call, wanted, deadline, now);
+        self.reads.add(call, wanted, deadline, now);
         self.next_poll = self.next_poll.min(deadline);
         if let Some(target) = self.poll_target() {
-            self.poll(target, now, out);
+            self.send_poll(target, now, out);
         }
     }
 
     fn answer_reads(&mut self, now: Instant, out: &mut Outbox) {
-        let config = Confirmed { what: self.config_store.active_config(), as_of: self.confirmed };
-        let halls_as_of = self.vouched.map(|vouched| vouched.asked);
-        let halls = Confirmed { what: &self.halls, as_of: halls_as_of };
+        let config =
+            Confirmed { what: self.config_store.active_config(), as_of: self.confirmed_at };
+        let halls_as_of = self.last_confirmation.map(|confirmation| confirmation.asked);
+        let halls = Confirmed { what: &self.halls_out, as_of: halls_as_of };
         self.reads.answer(config, halls, now, out);
     }
 
     pub(crate) fn link_up(&mut self, vm: &VmName, now: Instant, out: &mut Outbox) {
         self.sources.links.insert(vm.clone());
         if self.leader.is_none() && self.sources.replicas.contains(vm) {
-            self.poll(vm.clone(), now, out);
+            self.send_poll(vm.clone(), now, out);
         }
         self.config_store.fetch_if_missing(&self.sources, now, out);
     }
@@ -238,8 +236,8 @@
     }
 
     pub(crate) fn tick(&mut self, now: Instant, out: &mut Outbox) {
-        self.ticked = now;
-        self.judge_freshness(now, out);
+        self.last_tick = now;
+        self.update_freshness(now, out);
         self.answer_reads(now, out);
         self.config_store.tick(&self.sources, now, out);
         if now < self.next_poll {
@@ -248,11 +246,11 @@
         let next = now.after(self.timing.poll);
         self.next_poll = self.reads.next_deadline().map_or(next, |at| at.min(next));
         let silent = now.since(self.last_reply);
-        if self.timing.poll * PATIENCE < silent {
+        if self.timing.poll * POLL_TIMEOUT_INTERVALS < silent {
             self.set_leader(None);
         }
         if let Some(target) = self.poll_target() {
-            self.poll(target, now, out);
+            self.send_poll(target, now, out);
         }
     }
 
@@ -261,9 +259,10 @@
             self.set_leader(None);
         }
         if self.leader.is_none() {
-            self.hint = leader.map(VmName::from);
-            // Looks for the leader again at the next tick if there is a hint, else soon.
-            let pause = if self.hint.is_some() { Duration::ZERO } else { self.timing.poll / 5 };
+            self.leader_hint = leader.map(VmName::from);
+            // Polls the hinted leader at the next tick, or another replica soon.
+            let pause =
+                if self.leader_hint.is_some() { Duration::ZERO } else { self.timing.poll / 5 };
             self.next_poll = self.next_poll.min(now.after(pause));
         }
     }
@@ -288,69 +287,75 @@
         self.set_leader(Some(leader));
         let hash = ContentHash::from_slice(&reply.hash).unwrap_or_default();
         let current = VersionHash { version: reply.version, hash };
-        self.vouched = Some(Vouched { current, asked: sent });
+        self.last_confirmation = Some(ConfirmedVersion { current, asked: sent });
         self.update_halls_out(&reply.halls.unwrap_or_default(), out);
         self.config_store.on_version_confirmed(current.version);
         self.config_store.fetch_if_missing(&self.sources, now, out);
-        self.confirm(now, out);
+        self.update_confirmation(now, out);
     }
 
-    /// Takes the word of a leader that a version was accepted.
+    /// Handles the leader's announcement of an accepted version.
     pub(crate) fn update(&mut self, from: &VmName, update: Update, now: Instant, out: &mut Outbox) {
         if self.config_store.update(update, &self.sources, now, out) {
-            self.came_into_force(Some(from), now, out);
+            self.on_config_activated(Some(from), now, out);
         }
     }
 
-    /// Takes a piece of the change that is being fetched.
+    /// Handles a piece of the change being fetched.
     pub(crate) fn piece(&mut self, piece: Piece, now: Instant, out: &mut Outbox) {
         if self.config_store.piece(piece, &self.sources, now, out) {
-            self.came_into_force(None, now, out);
+            self.on_config_activated(None, now, out);
         }
     }
 
-    /// Takes what this VM's own control replica knows to be accepted.
+    /// Activates what the control replica on this VM has accepted.
     pub(crate) fn load_accepted(&mut self, state: &State, now: Instant, out: &mut Outbox) {
         self.update_halls_out(state.halls_out(), out);
         if self.config_store.load_accepted(state, out) {
-            self.came_into_force(None, now, out);
+            self.on_config_activated(None, now, out);
         }
     }
 
-    /// Tells the leader at once what is in force here.
-    fn came_into_force(&mut self, told_by: Option<&VmName>, now: Instant, out: &mut Outbox) {
-        self.changed = true;
-        if let Some(leader) = told_by.or(self.leader()).cloned() {
-            self.poll(leader, now, out);
+    /// Reports the new active version to the leader.
+    fn on_config_activated(
+        &mut self,
+        announced_by: Option<&VmName>,
+        now: Instant,
+        out: &mut Outbox,
+    ) {
+        self.config_changed = true;
+        if let Some(leader) = announced_by.or(self.leader()).cloned() {
+            self.send_poll(leader, now, out);
         }
-        self.confirm(now, out);
+        self.update_confirmation(now, out);
     }
 
-    /// What the leader has vouched for holds for the configuration in force once it is that one.
-    fn confirm(&mut self, now: Instant, out: &mut Outbox) {
-        let in_force = self.config_store.version_hash();
-        if let Some(Vouched { current, asked }) = self.vouched
-            && in_force == current
+    /// Counts the leader's last confirmation for the active configuration if the versions match.
+    fn update_confirmation(&mut self, now: Instant, out: &mut Outbox) {
+        let active = self.config_store.version_hash();
+        if let Some(ConfirmedVersion { current, asked }) = self.last_confirmation
+            && active == current
             && 0 < current.version
         {
-            self.confirmed = Some(self.confirmed.map_or(asked, |at| at.max(asked)));
+            self.confirmed_at = Some(self.confirmed_at.map_or(asked, |at| at.max(asked)));
         }
         self.answer_reads(now, out);
-        self.judge_freshness(now, out);
+        self.update_freshness(now, out);
     }
 
-    fn judge_freshness(&mut self, now: Instant, out: &mut Outbox) {
-        let age = self.confirmed.map(|at| now.since(at));
+    /// Reports a change of freshness or of the last confirmation.
+    fn update_freshness(&mut self, now: Instant, out: &mut Outbox) {
+        let age = self.confirmed_at.map(|at| now.since(at));
         let fresh = age.is_some_and(|age| age < self.timing.stale_after);
-        if self.confirmed != self.reported_confirmed || fresh != self.fresh {
+        if self.confirmed_at != self.reported_confirmed || fresh != self.fresh {
             self.fresh = fresh;
-            self.reported_confirmed = self.confirmed;
+            self.reported_confirmed = self.confirmed_at;
             let daemons = self.leader.as_ref().map_or(0, |leader| leader.daemons);
             let entries =
                 self.leader.as_ref().map_or(EntryDaemons::default(), |leader| leader.entries);
             out.push(Output::ConfigFreshness {
                 fresh,
-                confirmed: self.confirmed,
+                confirmed: self.confirmed_at,
                 daemons,
                 entries,
             });
--- a/crates/core/src/node/control_client/polls.rs
+++ b/crates/core/src/node/control_client/polls.rs
@@ -1,4 +1,4 @@
-//! The polls by which a daemon asks the leader what is in force.
+//! Polls of the leader: what is current and whether it still leads.
 
 use bytes::Bytes;
 
@@ -10,7 +10,7 @@
     wire::{Body, Poll},
 };
 
-/// A poll that waits for its answer.
+/// A poll that waits for its reply.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SentPoll {
     pub(super) nonce: u64,
@@ -18,13 +18,13 @@
 }
 
 impl ControlClient {
-    /// Whom to poll: the leader, or else whoever may know one.
+    /// The VM to poll: the leader, or else a replica that may know it.
     pub(super) fn poll_target(&mut self) -> Option<VmName> {
         if let Some(leader) = self.leader() {
             return Some(leader.clone());
         }
         let reachable = |vm: &VmName| *vm == self.sources.vm || self.sources.links.contains(vm);
-        if let Some(hint) = self.hint.take().filter(reachable) {
+        if let Some(hint) = self.leader_hint.take().filter(reachable) {
             return Some(hint);
         }
         let reachable: Vec<VmName> =
@@ -34,7 +34,7 @@
         reachable.into_iter().nth(self.next_replica.checked_rem(count)?)
     }
 
-    /// Takes how much is known here of suspects; asks on at once if the leader has told that there is more.
+    /// Sets how current the suspect cache is; polls again at once if the leader has more changes.
     pub(crate) fn set_suspects_state(
         &mut self,
         state: SuspectCacheState,
@@ -42,23 +42,23 @@
         now: Instant,
         out: &mut Outbox,
     ) {
-        let has_new = self.suspects != state;
-        self.suspects = state;
+        let has_new = self.suspects_state != state;
+        self.suspects_state = state;
         if let (true, true, Some(leader)) = (has_new, has_more, self.leader().cloned()) {
-            self.poll(leader, now, out);
+            self.send_poll(leader, now, out);
         }
     }
 
-    /// Tells the leader at once that a planned stop has begun.
+    /// Reports the start of a planned stop to the leader.
     pub(crate) fn stop(&mut self, now: Instant, out: &mut Outbox) {
         self.stopping = true;
         if let Some(leader) = self.leader().cloned() {
-            self.poll(leader, now, out);
+            self.send_poll(leader, now, out);
         }
     }
 
-    /// Asks what is in force, and whether anything else is news here.
-    pub(super) fn poll(&mut self, to: VmName, now: Instant, out: &mut Outbox) {
+    /// Sends a poll with this daemon's state; the reply contains what it lacks.
+    pub(super) fn send_poll(&mut self, to: VmName, now: Instant, out: &mut Outbox) {
         const MAX_POLLS: usize = 16;
         self.nonce = self.nonce.wrapping_add(1);
         if MAX_POLLS <= self.polls.len() {
@@ -73,8 +73,8 @@
             hash,
             takes_callers: self.takes_callers,
             stopping: self.stopping,
-            suspects: self.suspects.revision,
-            filling: self.suspects.initializing,
+            suspects: self.suspects_state.revision,
+            filling: self.suspects_state.initializing,
         };
         out.send(&to, Body::Poll(poll));
     }
--- a/crates/core/src/node/members.rs
+++ b/crates/core/src/node/members.rs
@@ -1,4 +1,4 @@
-//! Who belongs to the group of control replicas: founding it, and repairing it.
+//! Membership of the replication group: bootstrap and repair.
 
 use std::time::Duration;
 
@@ -8,31 +8,30 @@
     units::Instant,
 };
 
-/// A learner may vote once it lacks no more than this many entries.
+/// Entries that a learner may lack when it is promoted to voter.
 const MAX_LEARNER_LAG: u64 = 64;
-/// A voter that was silent for this long gives its place to a learner that stands by. Longer
-/// than any pause of a healthy VM, shorter than the time in which a second one may be lost.
+/// Silence after which a voter is replaced by a spare learner. Longer than pauses of a healthy VM, short
+/// enough to restore redundancy before a second failure.
 const REPLACE_SILENT_VOTER_AFTER: Duration = Duration::from_secs(3);
-/// A learner that was silent for this long is no longer sent the log.
+/// Silence after which an unlinked learner is removed from the group.
 const DROP_SILENT_LEARNER_AFTER: Duration = Duration::from_secs(10);
 
-/// What another control VM said of its replica.
+/// A linked control VM's replica, as it introduced itself.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Peer {
     pub(crate) id: ReplicaId,
     pub(crate) empty: bool,
 }
 
-/// The first members, if this replica may found the group now: it is the first that is
-/// listed, and every listed replica is linked and empty. A first VM that lost its disk finds
-/// another that is not empty, or cannot reach one, and founds nothing.
+/// The initial membership if this replica may bootstrap the group: it is the first founder, and all
+/// founders are linked and empty. If it merely lost its disk, some founder is not empty or not linked.
 pub(crate) fn bootstrap_membership(
     vm: &VmName,
-    listed: &[VmName],
+    founders: &[VmName],
     replica: &Replica,
     peers: &ByVm<Peer>,
 ) -> Option<Membership> {
-    if !replica.is_empty() || listed.first() != Some(vm) {
+    if !replica.is_empty() || founders.first() != Some(vm) {
         return None;
     }
     let member = |name: &VmName| {
@@ -40,17 +39,16 @@
             if name == vm { replica.id() } else { peers.get(name).filter(|peer| peer.empty)?.id };
         Some(Member { id, vm: name.to_string(), voter: true })
     };
-    let members = listed.iter().map(member).collect::<Option<Vec<Member>>>()?;
+    let members = founders.iter().map(member).collect::<Option<Vec<Member>>>()?;
     Some(Membership { members })
 }
 
-/// The next change of members that brings the group to one voter on each control VM that is
-/// linked, up to `max_voters`. A VM whose disk was lost comes back as another replica: it
-/// learns, then the replica that is gone is removed, then the new one votes. Once there are
-/// enough voters, a learner takes the place of one that has fallen silent. Each is a change of
-/// its own.
+/// The next single membership change toward one voter on each linked control VM, up to `max_voters`.
+/// A VM that lost its disk returns as a new replica: it is added as a learner, the old replica is
+/// removed, then the new one is promoted. Once there are enough voters, a spare learner replaces a
+/// voter that has gone silent.
 pub(crate) fn repair_membership(
-    own: &VmName,
+    own_vm: &VmName,
     replica: &Replica,
     peers: &ByVm<Peer>,
     max_voters: usize,
@@ -58,8 +56,8 @@
 ) -> Option<Membership> {
     let membership = replica.membership();
     let mut changed = membership.clone();
-    let mine = Peer { id: replica.id(), empty: false };
-    let linked = || peers.iter().map(|(vm, peer)| (vm, *peer)).chain([(own, mine)]);
+    let own_peer = Peer { id: replica.id(), empty: false };
+    let linked = || peers.iter().map(|(vm, peer)| (vm, *peer)).chain([(own_vm, own_peer)]);
     if let Some((vm, peer)) = linked().find(|(_, peer)| membership.member(peer.id).is_none()) {
         changed.members.push(Member { id: peer.id, vm: vm.to_string(), voter: false });
         return Some(changed);
@@ -69,9 +67,9 @@
         if !is_learner || !replica.is_caught_up(peer.id, MAX_LEARNER_LAG) {
             continue;
         }
-        let former = |m: &Member| m.vm == **vm && m.id != peer.id;
-        if changed.members.iter().any(former) {
-            changed.members.retain(|m| !former(m));
+        let is_predecessor = |m: &Member| m.vm == **vm && m.id != peer.id;
+        if changed.members.iter().any(is_predecessor) {
+            changed.members.retain(|m| !is_predecessor(m));
             return Some(changed);
         }
         if membership.voters().count() < max_voters {
@@ -87,12 +85,12 @@
             return Some(changed);
         }
     }
-    let dropped = |m: &Member| {
+    let is_lost_learner = |m: &Member| {
         let is_linked = linked().any(|(_, peer)| peer.id == m.id);
         !m.voter && !is_linked && !replica.heard_within(m.id, DROP_SILENT_LEARNER_AFTER, now)
     };
-    if changed.members.iter().any(dropped) {
-        changed.members.retain(|m| !dropped(m));
+    if changed.members.iter().any(is_lost_learner) {
+        changed.members.retain(|m| !is_lost_learner(m));
         return Some(changed);
     }
     None
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! What a node is told and asked, and what it answers and wants done.
+//! Inputs, calls, replies and outputs of a [`Node`](super::Node).
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,64 +21,64 @@
     wire::{AcceptedVersion, Body, EndpointRecord, HealthNews, Piece, Report, Submit, Update},
 };
 
-/// Names a question that one of the daemon's own threads asked; the answer repeats it.
+/// Id of a [`NodeCall`], repeated in its reply. Also identifies a placed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A question from one of the daemon's own threads.
+/// A call from another thread of the daemon.
 #[derive(Debug, Clone)]
 pub enum NodeCall {
-    /// Find a place for a request. Its ticket is filled in by the node.
+    /// Place a request on an endpoint. The node fills in its ticket.
     Place(Request),
-    /// Submit an operator's file.
+    /// Submit an operator's configuration file.
     Submit(Submit),
-    /// Claim a call, within this time.
+    /// Claim a call under its idempotency key.
     Claim {
         /// The claim.
         claim: Claim,
-        /// Time allowed.
+        /// Timeout.
         limit: Duration,
     },
-    /// End a claim; the answer tells when it is stored.
+    /// Settle a claim; answered once the result is stored.
     Settle(Settle),
-    /// The newest accepted configuration, confirmed after the question came.
+    /// Read the newest accepted configuration, confirmed after the call was made.
     ReadConfig {
-        /// Time allowed.
+        /// Timeout.
         limit: Duration,
     },
-    /// Take a data hall out of service or give it back, within this time.
+    /// Take a data hall out of service or return it to service.
     ChangeHall {
         /// The order.
         order: HallOrder,
-        /// Time allowed.
+        /// Timeout.
         limit: Duration,
     },
-    /// The data halls that are out of service, confirmed after the question came.
+    /// Read the data halls that are out of service, confirmed after the call was made.
     ReadHallsOut {
-        /// Time allowed.
+        /// Timeout.
         limit: Duration,
     },
-    /// Whether a try of a suspect may run.
+    /// Ask for permission to send a suspect to an endpoint.
     Trial {
         /// The request.
         request: RequestDigest,
-        /// How long it may wait for the answer.
+        /// Timeout.
         limit: Duration,
     },
-    /// A permit for a request at one of several endpoints that name limits; who asks is filled in by the node.
+    /// Ask for a permit at one of several rate-limited endpoints. The node fills in the asker.
     Permit(PermitRequest<CallId>),
-    /// Forget the ends under a request, within this time.
+    /// Clear a suspect: delete the record of endpoints that ended while running it.
     ClearSuspect {
         /// The request.
         request: RequestDigest,
-        /// Time allowed.
+        /// Timeout.
         limit: Duration,
     },
-    /// The requests under which endpoints have ended, as this node's control replica knows them.
+    /// List the suspects known to this node's control replica.
     Suspects,
-    /// The state of the endpoints as this node's scheduler sees them.
+    /// List the endpoints with their state in this node's scheduler.
     Endpoints,
-    /// The state of the control replicas as this node sees them.
+    /// Status of the control replicas as seen by this node.
     ControlStatus,
 }
 
@@ -87,7 +87,7 @@
 pub struct Placement {
     /// Name of the endpoint.
     pub endpoint: Arc<str>,
-    /// Priority for the engine.
+    /// Priority to pass to the engine.
     pub priority: u64,
     /// The endpoints that this daemon has drawn at random, the one above among them, while no
     /// scheduler answers; none where a scheduler has granted the place.
@@ -95,7 +95,7 @@
 }
 
 impl Placement {
-    /// A place that a scheduler has granted.
+    /// A placement granted by a scheduler.
     pub(crate) fn granted(endpoint: Arc<str>, priority: u64) -> Placement {
         Placement { endpoint, priority, sampled: Vec::new() }
     }
@@ -104,30 +104,30 @@
 /// Why a submitted file was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubmitError {
-    /// Another file holds its version, or a later one is accepted.
+    /// Its version belongs to another file, or a later version is accepted.
     Refused(String),
-    /// Another version was accepted meanwhile; compare with that one and ask again.
+    /// This version was accepted meanwhile; submit again as a change from it.
     Rebase(u64),
-    /// No leader answered in time; whether the file was accepted is not known.
+    /// No leader answered in time; the file may or may not have been accepted.
     NoAnswer,
 }
 
-/// The answer to a [`NodeCall`].
+/// The reply to a [`NodeCall`].
 #[derive(Debug, Clone)]
 pub enum NodeReply {
     /// To [`NodeCall::Place`].
     Placed(Result<Placement, RequestError>),
     /// To [`NodeCall::Submit`].
     Submitted(Result<AcceptedVersion, SubmitError>),
-    /// To [`NodeCall::Claim`]; `None` when no quorum answered in time.
+    /// To [`NodeCall::Claim`]; `None` if no quorum answered in time.
     Claimed(Option<ClaimResult>),
-    /// To [`NodeCall::Settle`]; false when it could not be stored in time.
+    /// To [`NodeCall::Settle`]; false if the result could not be stored in time.
     Settled(bool),
-    /// To [`NodeCall::ReadConfig`]; `None` when it could not be confirmed in time.
+    /// To [`NodeCall::ReadConfig`]; `None` if it could not be confirmed in time.
     Config(Option<Arc<ActiveConfig>>),
-    /// To [`NodeCall::ChangeHall`]; `None` when no quorum answered in time.
+    /// To [`NodeCall::ChangeHall`]; `None` if no quorum answered in time.
     HallChange(Option<HallResult>),
-    /// To [`NodeCall::ReadHallsOut`]; `None` when they could not be confirmed in time.
+    /// To [`NodeCall::ReadHallsOut`]; `None` if they could not be confirmed in time.
     HallsOut(Option<HallsOut>),
     /// To [`NodeCall::Trial`].
     Trial(TrialAnswer),
@@ -136,7 +136,7 @@
     /// To [`NodeCall::ClearSuspect`]: whether the request was a suspect; `None` when no quorum answered in
     /// time.
     SuspectCleared(Option<bool>),
-    /// To [`NodeCall::Suspects`]; `None` where the node has no control replica.
+    /// To [`NodeCall::Suspects`]; `None` if the node has no control replica.
     Suspects(Option<Vec<Suspect>>),
     /// To [`NodeCall::Endpoints`].
     Endpoints(Vec<EndpointStatus>),
@@ -144,10 +144,10 @@
     ControlStatus(ControlStatus),
 }
 
-/// Something that happened.
+/// An event for the node to handle.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time has passed.
+    /// The time of [`Node::next_tick`](super::Node::next_tick) has come.
     Tick,
     /// A link to another daemon is up.
     LinkUp(VmName),
@@ -157,81 +157,81 @@
     Message(VmName, Body),
     /// The writes of [`Output::Persist`] with this number are synced.
     Persisted(u64),
-    /// A question from one of the daemon's own threads.
+    /// A call from another thread of the daemon.
     Call(CallId, NodeCall),
-    /// A placed request has produced this many tokens.
+    /// A placed request has generated this many tokens.
     Progress(CallId, u64),
     /// A placed request ended.
     Finished {
         /// The request.
         call: CallId,
-        /// Tokens produced.
+        /// Tokens generated.
         tokens: u64,
-        /// Whether with its whole answer.
+        /// Whether the answer was complete.
         complete: bool,
     },
-    /// The asker of a placement has left.
+    /// The caller of a request has disconnected.
     Cancelled(CallId),
     /// An attempt at an endpoint broke off.
     FailedAttempt(FailedAttempt),
-    /// A request that may be a suspect has brought its whole answer, in a try that was no trial.
+    /// A possible suspect was answered completely outside of a trial.
     AnswerCompleted(RequestDigest),
-    /// A trial has begun to answer well.
+    /// A trial has started to receive a successful answer.
     TrialStarted(CallId),
-    /// A trial has ended, or its asker has left.
+    /// A trial has ended, or its caller has disconnected.
     TrialEnded {
-        /// The try.
+        /// The trial.
         call: CallId,
-        /// Whether it has brought its whole answer.
+        /// Whether the answer was complete.
         complete: bool,
     },
-    /// An endpoint has said in an answer how much it takes, or names no limit any more.
+    /// An endpoint has reported its rate limit in an answer, or that it has none.
     RateLimitReported(RateLimitReport),
     /// An endpoint has rejected a request of this daemon.
     Rejected(Rejection),
-    /// An endpoint has said in an answer that it will end.
+    /// An endpoint has announced in an answer that it is shutting down.
     Leaving {
         /// Name of the endpoint.
         endpoint: Arc<str>,
-        /// When its run was started.
+        /// Start time of the endpoint's run.
         started_at: u64,
     },
-    /// An endpoint has said in an answer that it is slow after its start.
+    /// An endpoint has reported in an answer that it is still slow after its start.
     Cold {
         /// Name of the endpoint.
         endpoint: Arc<str>,
-        /// When its run was started.
+        /// Start time of the endpoint's run.
         started_at: u64,
-        /// For how much longer.
+        /// Remaining time.
         left: Duration,
     },
-    /// This daemon has news of an endpoint.
+    /// This daemon has observed a change in an endpoint's health.
     Health(Arc<str>, HealthNews),
-    /// This daemon asked an endpoint for its load.
+    /// An endpoint has answered this daemon's load query.
     Load(Report),
-    /// An endpoint registered itself or sent a heartbeat.
+    /// An endpoint has registered or sent a heartbeat.
     Heartbeat(EndpointRecord),
-    /// The endpoints that were last given out with [`Output::SaveEndpoints`], at the start.
+    /// The endpoints saved last with [`Output::SaveEndpoints`]; sent at the start.
     RestoreEndpoints(Vec<EndpointRecord>),
-    /// An endpoint said that it will end.
+    /// An endpoint has deregistered before shutting down.
     EndpointDeregistered(Arc<str>),
-    /// What became of a move.
+    /// Result of an [`Output::Move`].
     Moved {
         /// The request.
         call: CallId,
-        /// Where it runs now.
+        /// Endpoint that runs it now.
         at: Arc<str>,
-        /// Whether that is where it was to go.
+        /// Whether that is the requested endpoint.
         done: bool,
     },
-    /// The settings name other control VMs.
+    /// The control VMs in the settings have changed.
     Seeds(Vec<VmName>),
-    /// A planned stop: hand over what can be handed over.
+    /// A planned stop has begun: transfer leadership and drain.
     Stop,
 }
 
 impl Input {
-    /// What kind of input it is, for logs and metrics.
+    /// Name of the kind of input in logs and metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Input::Tick => "tick",
@@ -263,18 +263,18 @@
     }
 }
 
-/// A change of the configuration, or a piece of it, that was sent; for logs and metrics.
+/// A configuration change, or a piece of one, that was sent; for logs and metrics.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SentChange {
     /// The change.
     pub change: ChangeId,
-    /// Bytes that were sent to each daemon.
+    /// Bytes sent to each daemon.
     pub bytes: usize,
-    /// Number of daemons.
+    /// Number of receiving daemons.
     pub daemons: usize,
-    /// The daemon that has asked for it; nobody where the leader told all of an accepted one.
+    /// The daemon that fetched it; `None` for a leader's announcement to all daemons.
     pub requested_by: Option<VmName>,
-    /// Whether nothing is left to be sent of it.
+    /// Whether the change is complete with this.
     pub last: bool,
 }
 
@@ -293,95 +293,95 @@
     }
 }
 
-/// Something to be done.
+/// An action that the node requests.
 #[derive(Debug, Clone)]
 pub enum Output {
     /// Send a message to another daemon; it may be lost.
     Send(VmName, Body),
-    /// Write and sync, then tell with [`Input::Persisted`].
+    /// Write and sync, then confirm with [`Input::Persisted`].
     Persist(u64, Persist),
-    /// Answer a question.
+    /// Reply to a call.
     Reply(CallId, NodeReply),
-    /// A configuration has come into force.
+    /// A configuration was activated.
     ConfigActivated(Arc<ActiveConfig>),
-    /// Other data halls are out of service from now on.
+    /// The data halls that are out of service have changed.
     HallsOut(HallsOut),
-    /// A change of the configuration was sent.
+    /// A configuration change was sent.
     SentChange(SentChange),
-    /// An accepted configuration that cannot come into force on this daemon.
+    /// An accepted configuration cannot be activated on this daemon.
     ConfigRejected {
         /// Its version.
         version: u64,
-        /// What is wrong with it.
+        /// Reason, for logs.
         reason: &'static str,
     },
-    /// Whether the configuration is confirmed to be current, and when it last was.
+    /// The freshness of the active configuration has changed.
     ConfigFreshness {
-        /// Whether that is recent enough.
+        /// Whether it was confirmed recently enough.
         fresh: bool,
-        /// When it last was; nothing before the first time.
+        /// When it was last confirmed to be current, if ever.
         confirmed: Option<Instant>,
-        /// Number of daemons that the leader hears.
+        /// Number of live daemons according to the leader.
         daemons: u64,
-        /// Those that callers are sent to, as the leader knows them.
+        /// Daemons that receive callers, according to the leader.
         entries: EntryDaemons,
     },
-    /// Ask these endpoints for their load from now on.
+    /// Query the load of these endpoints periodically from now on.
     Watch(Vec<String>),
-    /// Another control VM leads from now on, or none is known.
+    /// The known leader has changed.
     Leader {
-        /// Its VM.
+        /// Its VM, if known.
         vm: Option<VmName>,
-        /// Its term; zero while none is known.
+        /// Its term; zero while no leader is known.
         term: u64,
     },
-    /// This daemon leads, and what is on record about a request has changed.
+    /// A suspect's record has changed; only on the leader.
     Suspect(Suspect),
-    /// This daemon knows of so many suspects from now on.
+    /// The number of known suspects has changed.
     Suspects {
-        /// All of them.
+        /// All suspects.
         suspects: usize,
-        /// Those that are sent to no endpoint.
+        /// Suspects in quarantine, which are sent to no endpoint.
         quarantined: usize,
     },
-    /// An endpoint has asked this daemon to back off, or the time is over.
+    /// An endpoint has asked this daemon to back off, or its back-off has ended.
     Backoff {
         /// Name of the endpoint.
         endpoint: Arc<str>,
-        /// For how long; nothing once it is over.
+        /// Remaining back-off; `None` once it has ended.
         left: Option<Duration>,
-        /// Number of the endpoints that have asked it to back off.
+        /// Number of endpoints in back-off.
         backing_off: usize,
     },
-    /// An endpoint has named a limit, another one or none any more.
+    /// An endpoint's rate limit has changed.
     Limit {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: Arc<str>,
-        /// What it names.
+        /// The new limit, if any.
         limit: Option<RateLimit>,
-        /// What is new about it.
+        /// What has changed.
         change: LimitChange,
-        /// Number of endpoints that name one, as this daemon knows.
+        /// Number of endpoints with a limit.
         limited: usize,
     },
-    /// Keep links to these control VMs.
+    /// Maintain links to these control VMs.
     Dial(Vec<VmName>),
-    /// The endpoints that registered themselves have changed.
+    /// The registered endpoints have changed.
     Registered(Vec<Registered>),
-    /// Keep these endpoints on disk if that is possible, in place of those before.
+    /// Replace the endpoints saved on disk, if this daemon stores any state.
     SaveEndpoints(Vec<EndpointRecord>),
-    /// Move a running request to another endpoint, then tell with [`Input::Moved`].
+    /// Move a running request to another endpoint, then report with [`Input::Moved`].
     Move {
         /// The request.
         call: CallId,
-        /// Where it runs.
+        /// Endpoint that runs it.
         from: Arc<str>,
-        /// Where it is to go on.
+        /// Endpoint that is to continue it.
         to: Arc<str>,
     },
 }
 
-/// Outputs that have come up, and messages to this node itself.
+/// Collected outputs, including messages of the node to itself.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     pub(super) outputs: Vec<Output>,
--- a/crates/core/src/node/news_batch.rs
+++ b/crates/core/src/node/news_batch.rs
@@ -1,4 +1,4 @@
-//! Gathers news of endpoints, so that a large fleet is told of many changes in one message.
+//! Batches gossip about endpoints, so that a large fleet receives many changes in one message.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,37 +7,37 @@
     wire::{EndpointNews, EndpointRecord},
 };
 
-/// A control VM writes this long for each daemon that it tells (measured at 300 VMs, where
-/// news sent one by one filled all processors); what comes meanwhile goes together.
+/// Minimum interval between messages to all daemons, for each daemon; about the time that sending to
+/// one takes.
 pub(super) const SEND_INTERVAL_PER_DAEMON: Duration = Duration::from_micros(100);
-/// What another control VM has told may wait this long: that one has told its own daemons.
+/// Delay before relaying news of another control VM, which has sent it to its own daemons already.
 pub(super) const RELAY_DELAY: Duration = Duration::from_millis(30);
-/// The same for each daemon that is told.
+/// Added to [`RELAY_DELAY`] for each daemon that receives the news.
 pub(super) const RELAY_DELAY_PER_DAEMON: Duration = Duration::from_micros(400);
-/// Heartbeats without news are passed on together; an endpoint counts as silent only after
-/// several of them are missing.
+/// Delay before forwarding heartbeats without changes. Shorter than the silence after which an
+/// endpoint counts as lost.
 pub(super) const HEARTBEAT_DELAY: Duration = Duration::from_millis(100);
-/// An entry tells the leader what the leader has not told it within this time: the two hear
-/// different control VMs while these are parted.
+/// Delay before an entry daemon forwards news to the leader, unless the leader sends it first. Needed
+/// while a network partition separates control VMs that the entry daemon reaches.
 pub(super) const LEADER_DELAY: Duration = Duration::from_millis(50);
-/// The same for each daemon, since the leader passes news on after [`RELAY_DELAY_PER_DAEMON`].
+/// Added to [`LEADER_DELAY`] for each daemon, since the leader delays news by
+/// [`RELAY_DELAY_PER_DAEMON`].
 pub(super) const LEADER_DELAY_PER_DAEMON: Duration = Duration::from_micros(800);
-/// Handing all endpoints to the schedulers and to requests takes this long for each of them
-/// on the smallest VMs (0.12 cores), four times over.
+/// Minimum interval between publishing all endpoints to schedulers and requests, for each endpoint.
 pub(super) const PUBLISH_INTERVAL_PER_ENDPOINT: Duration = Duration::from_micros(100);
 
-/// The endpoints are written to disk no more often than this: what left since is found out by
-/// its silence, and each write holds up those of the log by one sync.
+/// Minimum interval between writes of the endpoints to disk. Each write delays log writes by one sync,
+/// and endpoints that left since the last write are detected by their missing heartbeats.
 pub(super) const SAVE_INTERVAL: Duration = Duration::from_millis(250);
-/// The same for each endpoint, of 150 bytes: at 1,800 endpoints 230 KB a second at most.
+/// Added to [`SAVE_INTERVAL`] for each endpoint, which bounds the write rate.
 pub(super) const SAVE_INTERVAL_PER_ENDPOINT: Duration = Duration::from_micros(500);
 
-/// `part`, once for each of so many.
-pub(super) fn scaled(part: Duration, count: usize) -> Duration {
-    part * u32::try_from(count).unwrap_or(u32::MAX)
+/// `duration` times `count`.
+pub(super) fn scaled(duration: Duration, count: usize) -> Duration {
+    duration * u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-/// Records that wait to be sent; the newest of each endpoint.
+/// Records that wait to be sent; only the newest of each endpoint.
 #[derive(Debug, Default)]
 pub(super) struct NewsBatch {
     records: BTreeMap<String, EndpointRecord>,
@@ -46,23 +46,23 @@
 }
 
 impl NewsBatch {
-    /// Adds a record that may wait until `due`.
+    /// Adds a record that must be sent by `due`.
     pub(super) fn add(&mut self, record: EndpointRecord, due: Instant) {
         self.records.insert(record.id.clone(), record);
         self.due = Some(self.due.map_or(due, |earlier| earlier.min(due)));
     }
 
-    /// Adds a record that goes at once, unless others went within `pause`.
+    /// Adds a record to send as soon as `interval` has passed since the last batch.
     pub(super) fn add_rate_limited(
         &mut self,
         record: EndpointRecord,
-        pause: Duration,
+        interval: Duration,
         now: Instant,
     ) {
-        self.add(record, now.max(self.last_sent.after(pause)));
+        self.add(record, now.max(self.last_sent.after(interval)));
     }
 
-    /// Drops a record that need not be told any more.
+    /// Removes a record that the receiver has already, unless a newer one is waiting.
     pub(super) fn remove_known(&mut self, record: &EndpointRecord) {
         let newest = self.records.get(&record.id);
         if newest.is_some_and(|newest| newest == record) {
@@ -70,17 +70,17 @@
         }
     }
 
-    /// Lets what waits wait until `due` at least.
+    /// Delays the batch until `due` or later.
     pub(super) fn postpone(&mut self, due: Instant) {
         self.due = self.due.map(|earlier| earlier.max(due));
     }
 
-    /// When something must be sent.
+    /// When the batch must be sent.
     pub(super) fn due(&self) -> Option<Instant> {
         self.due
     }
 
-    /// What must be sent now.
+    /// Takes the batch if it is due and not empty.
     pub(super) fn take_due(&mut self, now: Instant) -> Option<EndpointNews> {
         self.due.filter(|due| *due <= now)?;
         self.due = None;
--- a/crates/core/src/node/operations.rs
+++ b/crates/core/src/node/operations.rs
@@ -1,4 +1,4 @@
-//! Carries changes of the replicated state to the leader until they are answered.
+//! Sends operations on the replicated state to the leader and retries them until they are answered.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,35 +13,34 @@
     },
 };
 
-/// An operation that was not answered in this time is sent again.
-const RESEND: Duration = Duration::from_millis(700);
-/// A file may take this much longer for each of its bytes, at the 10 Mbit/s of the smallest links
-/// and twice over, so that what is slow to arrive is not sent once more.
-const RESEND_FOR_BYTE: Duration = Duration::from_nanos(1_600);
-/// Time allowed for a submission.
+/// Time without a reply after which an operation is sent again.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
+/// Added to [`RETRY_DELAY`] for each byte of a file: twice its transfer time at 10 Mbit/s.
+const RETRY_DELAY_PER_BYTE: Duration = Duration::from_nanos(1_600);
+/// Timeout of a configuration submission.
 pub(crate) const SUBMIT_LIMIT: Duration = Duration::from_secs(10);
-/// Time allowed for storing how a call ended.
+/// Timeout for storing the result of a claimed call.
 pub(crate) const SETTLE_LIMIT: Duration = Duration::from_secs(120);
-/// How long a claim that was given up is still released in the background.
+/// Timeout for releasing an expired claim in the background.
 const RELEASE_LIMIT: Duration = Duration::from_secs(120);
 
+/// An operation that waits for its reply.
 #[derive(Debug)]
 struct Pending {
     kind: OperationKind,
-    /// Who waits for the answer; nobody for a release in the background.
+    /// The call to answer; `None` for a detached operation.
     call: Option<CallId>,
     deadline: Instant,
     sent: Option<Sent>,
 }
 
 impl Pending {
-    /// Time after which it is sent again.
-    fn resend_after(&self) -> Duration {
+    fn retry_delay(&self) -> Duration {
         let bytes = match &self.kind {
             OperationKind::Submit(submit) => submit.command.delta.len(),
             _ => 0,
         };
-        RESEND + RESEND_FOR_BYTE * u32::try_from(bytes).unwrap_or(u32::MAX)
+        RETRY_DELAY + RETRY_DELAY_PER_BYTE * u32::try_from(bytes).unwrap_or(u32::MAX)
     }
 }
 
@@ -51,27 +50,27 @@
     at: Instant,
 }
 
-/// Operations that are not answered yet.
+/// Operations in flight.
 #[derive(Debug)]
 pub(crate) struct Operations {
-    /// Number of the last one.
-    last: u64,
+    /// Number of the last operation.
+    last_number: u64,
     pending: BTreeMap<u64, Pending>,
 }
 
 impl Operations {
-    /// None yet. Their numbers go on from a random one: an answer to the daemon's former run may come late,
-    /// and must not be taken for that to another operation.
+    /// Numbers operations from a random seed, so that a late reply to a previous run of the daemon is not
+    /// matched to a new operation.
     pub(crate) fn numbered_from(seed: u64) -> Operations {
-        Operations { last: seed, pending: BTreeMap::new() }
+        Operations { last_number: seed, pending: BTreeMap::new() }
     }
 
-    /// Whether an operation has not been answered, nor given up.
+    /// Whether an operation is neither answered nor expired.
     pub(crate) fn is_pending(&self, number: u64) -> bool {
         self.pending.contains_key(&number)
     }
 
-    /// Carries an operation to the leader and answers `call`, within this time.
+    /// Starts an operation whose result is the reply to `call`.
     pub(crate) fn start(
         &mut self,
         call: CallId,
@@ -84,7 +83,7 @@
         self.add(kind, Some(call), now.after(limit), leader, now, out);
     }
 
-    /// Carries an operation that nobody waits for; returns its number.
+    /// Starts an operation that no call waits for; returns its number.
     pub(crate) fn start_detached(
         &mut self,
         kind: OperationKind,
@@ -94,7 +93,7 @@
         out: &mut Outbox,
     ) -> u64 {
         self.add(kind, None, now.after(limit), leader, now, out);
-        self.last
+        self.last_number
     }
 
     pub(crate) fn tick(&mut self, leader: Option<&VmName>, now: Instant, out: &mut Outbox) {
@@ -120,7 +119,7 @@
         }
     }
 
-    /// The receiver did not lead; the operation waits for the next tick.
+    /// Handles a rejection by a replica that does not lead.
     pub(crate) fn retry_at_next_tick(&mut self, id: u64) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.sent = None;
@@ -156,16 +155,16 @@
         now: Instant,
         out: &mut Outbox,
     ) {
-        self.last = self.last.wrapping_add(1);
-        self.pending.insert(self.last, Pending { kind, call, deadline, sent: None });
+        self.last_number = self.last_number.wrapping_add(1);
+        self.pending.insert(self.last_number, Pending { kind, call, deadline, sent: None });
         self.send_due(leader, now, out);
     }
 
     fn send_due(&mut self, leader: Option<&VmName>, now: Instant, out: &mut Outbox) {
         let Some(leader) = leader else { return };
         for (id, pending) in &mut self.pending {
-            let resend_after = pending.resend_after();
-            let due = pending.sent.as_ref().is_none_or(|sent| resend_after <= now.since(sent.at));
+            let retry_delay = pending.retry_delay();
+            let due = pending.sent.as_ref().is_none_or(|sent| retry_delay <= now.since(sent.at));
             if !due {
                 continue;
             }
@@ -183,7 +182,7 @@
             let answer = match pending.kind {
                 OperationKind::Submit(_) => NodeReply::Submitted(Err(SubmitError::NoAnswer)),
                 OperationKind::Claim(claim) => {
-                    // It may be committed yet; nothing was sent, so it is released.
+                    // The claim may still be committed. The call was not sent, so it is released.
                     let kind = OperationKind::Settle(release(&claim));
                     self.add(kind, None, now.after(RELEASE_LIMIT), leader, now, out);
                     NodeReply::Claimed(None)
--- a/crates/core/src/node/reads.rs
+++ b/crates/core/src/node/reads.rs
@@ -1,11 +1,11 @@
-//! Questions that are answered only with what was confirmed after they came.
+//! Linearizable reads: answered with a value confirmed after the read arrived.
 
 use std::sync::Arc;
 
 use super::{ActiveConfig, CallId, NodeReply, Outbox};
 use crate::{state::HallsOut, units::Instant};
 
-/// What a question asks for.
+/// What a read returns.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum ReadTarget {
     /// The newest accepted configuration.
@@ -22,22 +22,22 @@
     deadline: Instant,
 }
 
-/// Something, and the time as of which it is confirmed to be current.
+/// A value and the time at which it was last confirmed to be current.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Confirmed<T> {
     pub(super) what: T,
     pub(super) as_of: Option<Instant>,
 }
 
-/// The questions that wait.
+/// Reads that wait for a confirmation.
 #[derive(Debug, Default)]
 pub(super) struct PendingReads {
     waiting: Vec<Read>,
 }
 
 impl PendingReads {
-    /// Takes a question that came now.
-    pub(super) fn ask(
+    /// Adds a read that arrived at `now`.
+    pub(super) fn add(
         &mut self,
         call: CallId,
         wanted: ReadTarget,
@@ -47,12 +47,12 @@
         self.waiting.push(Read { call, wanted, asked: now, deadline });
     }
 
-    /// When the next question must be answered, whatever is confirmed by then.
+    /// Earliest deadline of the waiting reads.
     pub(super) fn next_deadline(&self) -> Option<Instant> {
         self.waiting.iter().map(|read| read.deadline).min()
     }
 
-    /// Answers what was confirmed since it was asked, and what has waited for too long.
+    /// Answers the reads that were confirmed or whose deadline has passed.
     pub(super) fn answer(
         &mut self,
         config: Confirmed<Option<&Arc<ActiveConfig>>>,
