--- a/crates/core/src/node/tests/backoff.rs
+++ b/crates/core/src/node/tests/backoff.rs
@@ -9,7 +9,7 @@
 
 use super::{
     net::{Net, Site, request},
-    suspects::running,
+    quarantine::configured_net,
 };
 use crate::{
     backoff::{Admission, Rejection},
@@ -23,7 +23,7 @@
 /// Less than that.
 const SHORT: Duration = Duration::from_millis(800);
 
-fn rejects(net: &mut Net, vm: &str, retry_after: Duration) {
+fn reject(net: &mut Net, vm: &str, retry_after: Duration) {
     let rejection =
         Rejection { endpoint: ENDPOINT.into(), started_at: 0, retry_after: Some(retry_after) };
     net.handle(&vm.into(), Input::Rejected(rejection));
@@ -31,10 +31,10 @@
 
 /// Asks for a place at a VM and waits for the answer; returns whether there is one.
 fn is_placed(net: &mut Net, vm: &str) -> bool {
-    let before = net.seen.placed.len();
+    let before = net.observed.placed.len();
     let call = net.ask(&vm.into(), NodeCall::Place(request()));
     net.wait_for_answer(call);
-    before < net.seen.placed.len()
+    before < net.observed.placed.len()
 }
 
 fn admission(net: &Net, vm: &VmName) -> Admission {
@@ -44,9 +44,9 @@
 
 #[gtest]
 fn the_leader_places_nothing_of_a_daemon_that_was_asked_to_back_off() {
-    let mut net = running(&Site::new(3, 2), 31);
+    let mut net = configured_net(&Site::new(3, 2), 31);
 
-    rejects(&mut net, "vm-4", LONG);
+    reject(&mut net, "vm-4", LONG);
     let asked = net.time();
     let own = is_placed(&mut net, "vm-4");
     let waited = net.time().since(asked);
@@ -54,15 +54,15 @@
 
     expect_false!(own);
     expect_that!(waited, le(Duration::from_millis(500)));
-    expect_that!(net.seen.refused, elements_are![eq(&"overloaded")]);
+    expect_that!(net.observed.refused, elements_are![eq(&"overloaded")]);
     expect_true!(of_another);
 }
 
 #[gtest]
 fn a_request_that_can_wait_is_placed_when_the_time_is_over() {
-    let mut net = running(&Site::new(3, 2), 32);
+    let mut net = configured_net(&Site::new(3, 2), 32);
 
-    rejects(&mut net, "vm-4", SHORT);
+    reject(&mut net, "vm-4", SHORT);
     let asked = net.time();
     let placed = is_placed(&mut net, "vm-4");
 
@@ -73,13 +73,13 @@
 #[gtest]
 fn the_next_leader_knows_what_the_lost_one_knew() {
     for seed in 33..43 {
-        let mut net = running(&Site::new(3, 2), seed);
-        rejects(&mut net, "vm-4", LONG);
-        net.wait(5);
+        let mut net = configured_net(&Site::new(3, 2), seed);
+        reject(&mut net, "vm-4", LONG);
+        net.run(5);
 
         let leader = net.leader().unwrap();
         net.crash(&leader);
-        net.wait(150);
+        net.run(150);
 
         expect_false!(is_placed(&mut net, "vm-4"), "seed {seed}");
     }
@@ -87,11 +87,11 @@
 
 #[gtest]
 fn a_daemon_keeps_to_it_while_no_leader_answers() {
-    let mut net = running(&Site::new(3, 2), 34);
+    let mut net = configured_net(&Site::new(3, 2), 34);
     net.replicas().iter().for_each(|vm| net.crash(vm));
-    net.wait(50);
+    net.run(50);
 
-    rejects(&mut net, "vm-4", LONG);
+    reject(&mut net, "vm-4", LONG);
 
     expect_false!(is_placed(&mut net, "vm-4"));
     expect_true!(is_placed(&mut net, "vm-5"));
@@ -99,10 +99,10 @@
 
 #[gtest]
 fn all_daemons_are_told_that_the_endpoint_is_the_last_resort() {
-    let mut net = running(&Site::new(3, 3), 35);
+    let mut net = configured_net(&Site::new(3, 3), 35);
 
-    rejects(&mut net, "vm-4", LONG);
-    net.wait(20);
+    reject(&mut net, "vm-4", LONG);
+    net.run(20);
 
     for vm in net.vms() {
         let is_own = &*vm == "vm-4";
@@ -114,13 +114,13 @@
 
 #[gtest]
 fn a_daemon_that_was_suspended_goes_on_when_the_time_is_over() {
-    let mut net = running(&Site::new(3, 2), 36);
-    rejects(&mut net, "vm-4", SHORT);
+    let mut net = configured_net(&Site::new(3, 2), 36);
+    reject(&mut net, "vm-4", SHORT);
 
-    net.hosts.get_mut("vm-4").unwrap().frozen = true;
-    net.wait(100);
-    net.hosts.get_mut("vm-4").unwrap().frozen = false;
-    net.wait(50);
+    net.hosts.get_mut("vm-4").unwrap().suspended = true;
+    net.run(100);
+    net.hosts.get_mut("vm-4").unwrap().suspended = false;
+    net.run(50);
 
     expect_true!(is_placed(&mut net, "vm-4"));
 }
--- a/crates/core/src/node/tests/founding.rs
+++ b/crates/core/src/node/tests/bootstrap.rs
@@ -6,13 +6,13 @@
 use super::net::{Net, Site};
 
 /// Five control replicas, of which three are named to all daemons, and two entries.
-fn large() -> Site {
+fn large_site() -> Site {
     Site::new(5, 2)
 }
 
 /// Steps after which all is repaired: a new replica has learned, its former self was removed
 /// after some seconds, and it votes.
-const REPAIRED: usize = 600;
+const REPAIR_STEPS: usize = 600;
 
 /// How many replicas the leader counts as voters.
 fn voters(net: &Net) -> usize {
@@ -26,32 +26,32 @@
 }
 
 /// Links that break and daemons that freeze, but none that crash.
-fn unrest(net: &mut Net, steps: usize) {
+fn run_with_link_faults(net: &mut Net, steps: usize) {
     for _ in 0..steps {
         net.step(true);
-        let (a, b) = (net.pick(), net.pick());
+        let (a, b) = (net.random_vm(), net.random_vm());
         match net.random(20) {
             0 => net.disconnect(&a, &b),
             1..=4 => net.connect(&a, &b),
-            5 => net.hosts.get_mut(&a).unwrap().frozen ^= true,
+            5 => net.hosts.get_mut(&a).unwrap().suspended ^= true,
             _ => {}
         }
     }
 }
 
 /// One disk, two disks or a whole VM is lost.
-fn lose(net: &mut Net) {
+fn lose_disk_or_vm(net: &mut Net) {
     let replicas = net.replicas();
     let first = net.random(replicas.len() as u64) as usize;
     let second = (first + 1) % replicas.len();
     match net.random(3) {
-        0 => net.wipe(&replicas[first]),
+        0 => net.wipe_disk(&replicas[first]),
         1 => {
-            net.wipe(&replicas[first]);
-            net.wipe(&replicas[second]);
+            net.wipe_disk(&replicas[first]);
+            net.wipe_disk(&replicas[second]);
         }
         _ => {
-            let new = net.replace(&replicas[first]);
+            let new = net.replace_vm(&replicas[first]);
             net.start(&new);
         }
     }
@@ -59,9 +59,9 @@
 
 #[gtest]
 fn three_seeds_found_one_group_and_the_others_join_it() {
-    let mut net = Net::new(&large(), 1);
+    let mut net = Net::new(&large_site(), 1);
 
-    net.calm(REPAIRED);
+    net.recover(REPAIR_STEPS);
 
     expect_that!(voters(&net), eq(5));
     expect_true!(survives_next_loss(&net));
@@ -69,15 +69,15 @@
 
 #[gtest]
 fn a_vm_that_comes_later_founds_nothing() {
-    let mut net = Net::new(&large(), 2);
-    net.calm(REPAIRED);
+    let mut net = Net::new(&large_site(), 2);
+    net.recover(REPAIR_STEPS);
     net.submit(&"vm-6".into(), 1, "a");
-    net.calm(20);
-    let new = net.replace(&"vm-1".into());
+    net.recover(20);
+    let new = net.replace_vm(&"vm-1".into());
     net.start(&new);
     net.isolate(&new);
 
-    net.wait(REPAIRED);
+    net.run(REPAIR_STEPS);
 
     let status = net.control(&new);
     expect_that!(status.replicas, len(eq(0)));
@@ -86,33 +86,33 @@
 
 #[gtest]
 fn a_founder_that_lost_its_disk_founds_nothing_whatever_its_settings_say() {
-    let mut net = Net::new(&large(), 4);
-    net.calm(REPAIRED);
+    let mut net = Net::new(&large_site(), 4);
+    net.recover(REPAIR_STEPS);
     net.submit(&"vm-6".into(), 1, "a");
-    net.calm(20);
-    net.wipe(&"vm-1".into());
-    net.hosts.get_mut("vm-1").unwrap().founder = true;
+    net.recover(20);
+    net.wipe_disk(&"vm-1".into());
+    net.hosts.get_mut("vm-1").unwrap().bootstraps = true;
     net.start(&"vm-1".into());
 
     // Links come up and messages arrive before anything else can be decided.
     let status = net.control(&"vm-1".into());
 
     expect_that!(status.replicas, len(eq(0)));
-    net.calm(REPAIRED);
+    net.recover(REPAIR_STEPS);
     expect_that!(net.version_at("vm-1"), eq(1));
     expect_that!(voters(&net), eq(5));
 }
 
 #[gtest]
 fn two_disks_lost_at_once_lose_nothing() {
-    let mut net = Net::new(&large(), 3);
-    net.calm(REPAIRED);
+    let mut net = Net::new(&large_site(), 3);
+    net.recover(REPAIR_STEPS);
     net.submit(&"vm-6".into(), 1, "a");
-    net.calm(20);
-    net.wipe(&"vm-1".into());
-    net.wipe(&"vm-2".into());
+    net.recover(20);
+    net.wipe_disk(&"vm-1".into());
+    net.wipe_disk(&"vm-2".into());
 
-    net.calm(REPAIRED);
+    net.recover(REPAIR_STEPS);
 
     expect_that!(net.version_at("vm-7"), eq(1));
     expect_that!(voters(&net), eq(5));
@@ -124,20 +124,20 @@
 
     #[test]
     fn whatever_is_lost_within_what_is_borne_nothing_accepted_is(seed in any::<u64>()) {
-        let mut net = Net::new(&large(), seed);
-        unrest(&mut net, 100);
-        net.calm(REPAIRED);
+        let mut net = Net::new(&large_site(), seed);
+        run_with_link_faults(&mut net, 100);
+        net.recover(REPAIR_STEPS);
         prop_assert_eq!(voters(&net), 5, "after founding");
         for _ in 0..3 {
-            net.storm(120);
-            net.calm(REPAIRED);
+            net.run_with_faults(120);
+            net.recover(REPAIR_STEPS);
             prop_assert!(survives_next_loss(&net));
-            lose(&mut net);
+            lose_disk_or_vm(&mut net);
         }
-        net.storm(60);
-        net.calm(REPAIRED);
+        net.run_with_faults(60);
+        net.recover(REPAIR_STEPS);
 
-        let accepted = net.seen.accepted;
+        let accepted = net.observed.accepted;
         prop_assert!(0 < accepted, "nothing was accepted");
         for vm in net.vms() {
             prop_assert!(accepted <= net.version_at(&vm), "{} is behind", vm);
--- a/crates/core/src/node/tests/insistent.rs
+++ b/crates/core/src/node/tests/crash_retries.rs
@@ -7,7 +7,7 @@
 
 use super::{
     net::{Net, Site},
-    suspects::{ask, deadly, ends, running},
+    quarantine::{configured_net, crash_endpoint, crashing_request, request_trial},
 };
 use crate::node::{CallId, Input, TrialAnswer, VmName};
 
@@ -52,16 +52,16 @@
     }
 
     /// A try comes to a daemon, which does with it what the server does.
-    fn come_to(&mut self, net: &mut Net, vm: &VmName) {
-        if !net.serves(vm) {
+    fn send_request(&mut self, net: &mut Net, vm: &VmName) {
+        if !net.is_serving(vm) {
             return;
         }
-        let Some(standing) = net.standing(vm, &deadly()) else { return };
+        let Some(standing) = net.standing(vm, &crashing_request()) else { return };
         if standing.is_quarantined() {
             return;
         }
         if standing.is_suspect() {
-            let call = ask(net, vm);
+            let call = request_trial(net, vm);
             self.asked.push((vm.clone(), call));
         } else {
             self.begin(vm, None);
@@ -73,7 +73,7 @@
         net.step(false);
         self.step += 1;
         for (vm, call) in std::mem::take(&mut self.asked) {
-            match net.seen.trials.get(&call) {
+            match net.observed.trials.get(&call) {
                 None => self.asked.push((vm, call)),
                 Some(TrialAnswer::Granted { .. }) => self.begin(&vm, Some(call)),
                 Some(_) => {}
@@ -86,7 +86,7 @@
         for Run { vm, trial, .. } in over {
             let endpoint = format!("e{}", self.ended.len());
             self.ended.push(self.step);
-            ends(net, &vm, &endpoint, trial);
+            crash_endpoint(net, &vm, &endpoint, trial);
             if let Some(call) = trial {
                 net.handle(&vm, Input::TrialEnded { call, complete: false });
             }
@@ -94,13 +94,13 @@
     }
 
     /// Tries that began before any daemon could know of an end.
-    fn unforeseen(&self) -> usize {
+    fn begun_before_detection(&self) -> usize {
         let first = self.ended.first().copied().unwrap_or(usize::MAX);
         self.begun.iter().filter(|begun| **begun <= first + 1).count()
     }
 
     /// Tries that began at an endpoint later than every daemon had to know of the third end.
-    fn too_late(&self) -> usize {
+    fn begun_after_quarantine(&self) -> usize {
         let Some(third) = self.ended.get(2) else { return 0 };
         self.begun.iter().filter(|begun| third + STEPS_TO_KNOW < **begun).count()
     }
@@ -108,18 +108,18 @@
 
 /// Lets callers repeat the deadly request every few steps, three at once at first, and a mishap happen in
 /// between; returns them.
-fn insist(net: &mut Net, mishap_at: usize, mishap: impl Fn(&mut Net)) -> Callers {
+fn run_retrying_callers(net: &mut Net, fault_at: usize, fault: impl Fn(&mut Net)) -> Callers {
     let entries: Vec<VmName> =
         net.vms().into_iter().filter(|vm| !net.replicas().contains(vm)).collect();
     let mut callers = Callers::new();
-    entries.iter().for_each(|vm| callers.come_to(net, vm));
+    entries.iter().for_each(|vm| callers.send_request(net, vm));
     for step in 1..900 {
-        if step == mishap_at {
-            mishap(net);
+        if step == fault_at {
+            fault(net);
         }
         callers.step(net);
         if step % 7 == 0 {
-            callers.come_to(net, &entries[step / 7 % entries.len()]);
+            callers.send_request(net, &entries[step / 7 % entries.len()]);
         }
     }
     callers
@@ -127,77 +127,81 @@
 
 #[gtest]
 fn tries_at_three_daemons_at_once_and_on_end_few_endpoints() {
-    let mut net = running(&Site::new(3, 3), 12);
+    let mut net = configured_net(&Site::new(3, 3), 12);
 
-    let callers = insist(&mut net, 0, |_| {});
+    let callers = run_retrying_callers(&mut net, 0, |_| {});
 
     // And then two trials, one after the other.
-    expect_that!(callers.ended.len(), eq(callers.unforeseen() + 2));
-    expect_that!(callers.too_late(), eq(0));
+    expect_that!(callers.ended.len(), eq(callers.begun_before_detection() + 2));
+    expect_that!(callers.begun_after_quarantine(), eq(0));
 }
 
 #[gtest]
 fn the_loss_of_the_leader_at_any_step_ends_no_more_than_allowed() {
-    for mishap_at in (1..240).step_by(3) {
-        let mut net = running(&Site::new(3, 3), 13);
+    for fault_at in (1..240).step_by(3) {
+        let mut net = configured_net(&Site::new(3, 3), 13);
 
-        let callers = insist(&mut net, mishap_at, |net| {
+        let callers = run_retrying_callers(&mut net, fault_at, |net| {
             let leader = net.leader().unwrap();
             net.crash(&leader);
         });
 
-        expect_that!(callers.too_late(), le(ALLOWED), "lost at step {mishap_at}");
-        let most = callers.unforeseen() + 2 + ALLOWED;
-        expect_that!(callers.ended.len(), le(most), "lost at step {mishap_at}");
+        expect_that!(callers.begun_after_quarantine(), le(ALLOWED), "lost at step {fault_at}");
+        let most = callers.begun_before_detection() + 2 + ALLOWED;
+        expect_that!(callers.ended.len(), le(most), "lost at step {fault_at}");
     }
 }
 
 #[gtest]
 fn the_loss_of_all_vms_at_any_step_ends_no_more_than_allowed() {
-    for mishap_at in (1..240).step_by(3) {
-        let mut net = running(&Site::new(3, 3), 14);
+    for fault_at in (1..240).step_by(3) {
+        let mut net = configured_net(&Site::new(3, 3), 14);
 
-        let callers = insist(&mut net, mishap_at, |net| {
+        let callers = run_retrying_callers(&mut net, fault_at, |net| {
             let vms = net.vms();
             vms.iter().for_each(|vm| net.crash(vm));
             vms.iter().for_each(|vm| net.start(vm));
         });
 
-        expect_that!(callers.too_late(), le(ALLOWED), "lost at step {mishap_at}");
+        expect_that!(callers.begun_after_quarantine(), le(ALLOWED), "lost at step {fault_at}");
     }
 }
 
 #[gtest]
 fn control_vms_that_nobody_reaches_for_a_while_let_no_more_through() {
-    for mishap_at in (1..240).step_by(9) {
-        let mut net = running(&Site::new(3, 3), 15);
+    for fault_at in (1..240).step_by(9) {
+        let mut net = configured_net(&Site::new(3, 3), 15);
 
-        let callers = insist(&mut net, mishap_at, |net| {
+        let callers = run_retrying_callers(&mut net, fault_at, |net| {
             let replicas = net.replicas();
             replicas.iter().for_each(|vm| net.crash(vm));
-            net.wait(60);
+            net.run(60);
             replicas.iter().for_each(|vm| net.start(vm));
         });
 
-        expect_that!(callers.too_late(), le(ALLOWED), "lost at step {mishap_at}");
+        expect_that!(callers.begun_after_quarantine(), le(ALLOWED), "lost at step {fault_at}");
     }
 }
 
 #[gtest]
 fn a_leader_or_an_entry_that_is_suspended_lets_no_more_through() {
-    for mishap_at in (1..240).step_by(9) {
+    for fault_at in (1..240).step_by(9) {
         for leads in [false, true] {
-            let mut net = running(&Site::new(3, 3), 16);
+            let mut net = configured_net(&Site::new(3, 3), 16);
 
-            let callers = insist(&mut net, mishap_at, |net| {
+            let callers = run_retrying_callers(&mut net, fault_at, |net| {
                 let vm = if leads { net.leader().unwrap() } else { "vm-5".into() };
-                net.hosts.get_mut(&vm).unwrap().frozen = true;
+                net.hosts.get_mut(&vm).unwrap().suspended = true;
                 // Longer than anything that rests on time holds.
-                net.wait(300);
-                net.hosts.get_mut(&vm).unwrap().frozen = false;
+                net.run(300);
+                net.hosts.get_mut(&vm).unwrap().suspended = false;
             });
 
-            expect_that!(callers.too_late(), le(ALLOWED), "leads {leads}, at step {mishap_at}");
+            expect_that!(
+                callers.begun_after_quarantine(),
+                le(ALLOWED),
+                "leads {leads}, at step {fault_at}"
+            );
         }
     }
 }
--- a/crates/core/src/node/tests/fleet/host.rs
+++ b/crates/core/src/node/tests/fleet/host.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::wire::message_bytes;
+use super::network::message_bytes;
 use crate::{
     node::{Clocks, Input, Node, Output},
     units::{Instant, UnixMillis},
--- a/crates/core/src/node/tests/fleet/mod.rs
+++ b/crates/core/src/node/tests/fleet/mod.rs
@@ -2,7 +2,7 @@
 //! every byte, so that what is large shows: it holds up whatever comes behind it.
 
 mod host;
-mod wire;
+mod network;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,7 +11,7 @@
 
 use self::{
     host::Host,
-    wire::{Wire, message_bytes},
+    network::{Network, message_bytes},
 };
 use super::net::Site;
 use crate::{
@@ -48,7 +48,7 @@
 /// Control VMs and entry VMs, every entry linked to every control VM.
 pub(super) struct Fleet {
     hosts: BTreeMap<VmName, Host>,
-    wire: Wire,
+    network: Network,
     /// By time, then in the order in which they came up.
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
@@ -61,11 +61,11 @@
     /// The longest time for which an entry's configuration was not confirmed.
     pub(super) longest_unconfirmed: Duration,
     /// Control VMs that reach only each other and the entries.
-    pub(super) cut: BTreeSet<VmName>,
+    pub(super) partitioned: BTreeSet<VmName>,
     /// Terms in which a leader was known.
     pub(super) terms: BTreeSet<u64>,
     /// When each VM first knew so many endpoints.
-    knew: BTreeMap<VmName, BTreeMap<usize, u64>>,
+    known_at: BTreeMap<VmName, BTreeMap<usize, u64>>,
     /// When each entry first had a configuration that is known to be current.
     confirmed: BTreeMap<VmName, u64>,
 }
@@ -75,7 +75,7 @@
     pub(super) fn new(site: &Site) -> Fleet {
         let mut fleet = Fleet {
             hosts: BTreeMap::new(),
-            wire: Wire::default(),
+            network: Network::default(),
             events: BTreeMap::new(),
             next_event: 0,
             now: 1_000_000,
@@ -83,9 +83,9 @@
             accepted: BTreeMap::new(),
             in_force: BTreeMap::new(),
             longest_unconfirmed: Duration::ZERO,
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             terms: BTreeSet::new(),
-            knew: BTreeMap::new(),
+            known_at: BTreeMap::new(),
             confirmed: BTreeMap::new(),
         };
         for vm in &site.replicas {
@@ -117,7 +117,7 @@
         } else {
             Node::entry(&options, now)
         };
-        self.wire.add(vm, is_control);
+        self.network.add(vm, is_control);
         self.hosts.insert(vm.clone(), Host::new(node, is_control));
     }
 
@@ -140,7 +140,7 @@
                 self.arrive(control, Input::LinkDown(vm.clone()), self.now);
             }
             self.add(vm, site, false);
-            self.knew.remove(vm);
+            self.known_at.remove(vm);
             self.confirmed.remove(vm);
             self.events.retain(|_, event| !matches!(event, Event::Arrives(to, _) if to == vm));
         }
@@ -160,13 +160,13 @@
     }
 
     /// When the last of these VMs knew so many endpoints, if all do.
-    pub(super) fn all_knew(&self, vms: &[VmName], count: usize) -> Option<Instant> {
-        let at = |vm: &VmName| self.knew.get(vm)?.range(count..).map(|(_, at)| *at).min();
+    pub(super) fn all_known_at(&self, vms: &[VmName], count: usize) -> Option<Instant> {
+        let at = |vm: &VmName| self.known_at.get(vm)?.range(count..).map(|(_, at)| *at).min();
         vms.iter().map(at).collect::<Option<Vec<u64>>>()?.into_iter().max().map(Instant)
     }
 
     /// When the last of these VMs had a configuration that is known to be current, if all do.
-    pub(super) fn all_confirmed(&self, vms: &[VmName]) -> Option<Instant> {
+    pub(super) fn all_confirmed_at(&self, vms: &[VmName]) -> Option<Instant> {
         let at = |vm: &VmName| self.confirmed.get(vm).copied();
         vms.iter().map(at).collect::<Option<Vec<u64>>>()?.into_iter().max().map(Instant)
     }
@@ -180,16 +180,16 @@
             match event {
                 Event::Arrives(vm, input) => {
                     self.hosts.get_mut(&vm).unwrap().waiting.push_back(*input);
-                    self.turn(&vm);
+                    self.process_next(&vm);
                 }
-                Event::Runs(vm) => self.turn(&vm),
+                Event::Runs(vm) => self.process_next(&vm),
             }
         }
         self.now = until;
     }
 
     /// Lets a VM take its next input, unless it is still at the one before.
-    fn turn(&mut self, vm: &VmName) {
+    fn process_next(&mut self, vm: &VmName) {
         let host = self.hosts.get_mut(vm).unwrap();
         if self.now < host.busy_until {
             return;
@@ -200,7 +200,7 @@
             let outputs = host.handle(input, self.now);
             let done = host.busy_until;
             for output in outputs {
-                self.carry_out(vm, output, done);
+                self.execute(vm, output, done);
             }
         }
         let host = &self.hosts[vm];
@@ -208,7 +208,7 @@
         self.schedule(next.max(host.busy_until).max(self.now + 1), Event::Runs(vm.clone()));
     }
 
-    fn carry_out(&mut self, vm: &VmName, output: Output, at: u64) {
+    fn execute(&mut self, vm: &VmName, output: Output, at: u64) {
         match output {
             Output::Send(to, body) => self.send(vm, &to, body, at),
             Output::Persist(number, _) => {
@@ -227,10 +227,10 @@
                 self.terms.insert(term);
             }
             Output::ConfigFreshness { confirmed: Some(confirmed), .. } => {
-                self.note_confirmed(vm, confirmed)
+                self.record_confirmation(vm, confirmed)
             }
             Output::Registered(endpoints) => {
-                let knew = self.knew.entry(vm.clone()).or_default();
+                let knew = self.known_at.entry(vm.clone()).or_default();
                 knew.entry(endpoints.len()).or_insert(at);
             }
             _ => {}
@@ -238,7 +238,7 @@
     }
 
     /// Notes for how long an entry went on by what it knew before this confirmation.
-    fn note_confirmed(&mut self, vm: &VmName, confirmed: Instant) {
+    fn record_confirmation(&mut self, vm: &VmName, confirmed: Instant) {
         self.confirmed.entry(vm.clone()).or_insert(self.now);
         let host = self.hosts.get_mut(vm).unwrap();
         let before = host.confirmed.replace(confirmed);
@@ -250,10 +250,10 @@
 
     fn send(&mut self, from: &VmName, to: &VmName, body: Body, at: u64) {
         let both_control = self.hosts[from].is_control && self.hosts[to].is_control;
-        if both_control && self.cut.contains(from) != self.cut.contains(to) {
+        if both_control && self.partitioned.contains(from) != self.partitioned.contains(to) {
             return;
         }
-        let arrives = self.wire.carry(from, to, message_bytes(&body), at);
+        let arrives = self.network.carry(from, to, message_bytes(&body), at);
         self.arrive(to, Input::Message(from.clone(), body), arrives);
     }
 
@@ -289,12 +289,12 @@
 
     /// Bytes that have reached a VM so far.
     pub(super) fn received(&self, vm: &VmName) -> usize {
-        self.wire.received(vm)
+        self.network.received(vm)
     }
 
     /// The longest time in which a message of less than a kilobyte reached an entry.
     pub(super) fn slowest_small_message(&self) -> Duration {
-        self.wire.slowest_small
+        self.network.slowest_small
     }
 
     /// The VM of the leader that has committed an entry of its own term.
--- a/crates/core/src/node/tests/fleet/wire.rs
+++ b/crates/core/src/node/tests/fleet/network.rs
@@ -25,7 +25,7 @@
 }
 
 /// A VM's own link to the network.
-struct Access {
+struct AccessLink {
     /// Bytes in a microsecond.
     rate: f64,
     /// When each direction is free, in microseconds.
@@ -37,16 +37,17 @@
 
 /// All VMs' links.
 #[derive(Default)]
-pub(super) struct Wire {
-    links: BTreeMap<VmName, Access>,
+pub(super) struct Network {
+    links: BTreeMap<VmName, AccessLink>,
     /// The longest time in which a small message reached an entry VM.
     pub(super) slowest_small: Duration,
 }
 
-impl Wire {
+impl Network {
     pub(super) fn add(&mut self, vm: &VmName, is_control: bool) {
         let rate = if is_control { CONTROL_RATE } else { ENTRY_RATE };
-        let access = Access { rate, out_free: 0, in_free: 0, received: 0, is_entry: !is_control };
+        let access =
+            AccessLink { rate, out_free: 0, in_free: 0, received: 0, is_entry: !is_control };
         self.links.insert(vm.clone(), access);
     }
 
--- a/crates/core/src/node/tests/halls.rs
+++ b/crates/core/src/node/tests/halls.rs
@@ -7,7 +7,7 @@
 
 use super::{
     net::{Net, Site, request},
-    small,
+    small_site,
 };
 use crate::{
     node::{NodeCall, VmName},
@@ -15,109 +15,109 @@
 };
 
 /// Five control replicas and two entries.
-fn with_five() -> Site {
+fn large_site() -> Site {
     Site::new(5, 2)
 }
 
 /// A net with a configuration of one engine, in hall `h`, and a leader that all know.
-fn running(site: &Site, seed: u64) -> Net {
+fn configured_net(site: &Site, seed: u64) -> Net {
     let mut net = Net::new(site, seed);
-    net.calm(100);
+    net.recover(100);
     net.submit(&net.entry(), 1, "a");
-    net.calm(60);
+    net.recover(60);
     net
 }
 
-fn out_at(net: &Net, vm: &str) -> Vec<String> {
-    net.seen.halls.known(vm).names
+fn halls_out_at(net: &Net, vm: &str) -> Vec<String> {
+    net.observed.halls.known(vm).names
 }
 
 #[gtest]
 fn a_hall_that_is_taken_out_is_out_on_every_daemon_a_moment_after_the_answer() {
-    let mut net = running(&small(), 1);
+    let mut net = configured_net(&small_site(), 1);
 
     let call = net.order_hall(&"vm-2".into(), "h", true);
     net.wait_for_answer(call);
-    net.wait(2);
+    net.run(2);
 
     for vm in &net.vms() {
-        expect_that!(out_at(&net, vm), elements_are![eq("h")], "{vm}");
+        expect_that!(halls_out_at(&net, vm), elements_are![eq("h")], "{vm}");
     }
 }
 
 #[gtest]
 fn a_hall_that_is_out_gets_nothing_and_its_requests_are_refused_at_once() {
-    let mut net = running(&small(), 2);
+    let mut net = configured_net(&small_site(), 2);
     let call = net.order_hall(&"vm-1".into(), "h", true);
     net.wait_for_answer(call);
-    net.wait(2);
+    net.run(2);
 
     net.ask(&net.entry(), NodeCall::Place(request()));
-    net.wait(5);
-    let placed_while_out = net.seen.placed.len();
-    let refused = net.seen.refused.clone();
+    net.run(5);
+    let placed_while_out = net.observed.placed.len();
+    let refused = net.observed.refused.clone();
     let call = net.order_hall(&"vm-2".into(), "h", false);
     net.wait_for_answer(call);
-    net.wait(2);
+    net.run(2);
     net.ask(&net.entry(), NodeCall::Place(request()));
-    net.wait(5);
+    net.run(5);
 
     expect_that!(placed_while_out, eq(0));
     expect_that!(refused, eq(&vec!["out_of_service"]));
-    expect_that!(net.seen.placed.len(), eq(1));
+    expect_that!(net.observed.placed.len(), eq(1));
 }
 
 #[gtest]
 fn what_waits_for_a_hall_is_refused_when_it_is_taken_out() {
-    let mut net = running(&small(), 3);
+    let mut net = configured_net(&small_site(), 3);
     for _ in 0..5 {
         net.ask(&net.entry(), NodeCall::Place(request()));
     }
-    net.wait(5);
-    let waited = net.seen.refused.len();
+    net.run(5);
+    let waited = net.observed.refused.len();
 
     let call = net.order_hall(&"vm-1".into(), "h", true);
     net.wait_for_answer(call);
-    net.wait(3);
+    net.run(3);
 
     expect_that!(waited, eq(0));
-    expect_that!(net.seen.placed.len(), eq(4));
-    expect_that!(net.seen.refused, eq(&vec!["out_of_service"]));
+    expect_that!(net.observed.placed.len(), eq(4));
+    expect_that!(net.observed.refused, eq(&vec!["out_of_service"]));
 }
 
 #[gtest]
 fn daemons_without_a_scheduler_obey_as_well() {
-    let mut net = running(&small(), 4);
+    let mut net = configured_net(&small_site(), 4);
     let call = net.order_hall(&"vm-1".into(), "h", true);
     net.wait_for_answer(call);
-    net.wait(2);
+    net.run(2);
     for vm in net.replicas() {
         net.crash(&vm);
     }
-    net.wait(100);
+    net.run(100);
 
     net.ask(&net.entry(), NodeCall::Place(request()));
-    net.wait(5);
+    net.run(5);
 
-    expect_that!(net.seen.placed, is_empty());
-    expect_that!(net.seen.refused, eq(&vec!["out_of_service"]));
+    expect_that!(net.observed.placed, is_empty());
+    expect_that!(net.observed.refused, eq(&vec!["out_of_service"]));
 }
 
 #[gtest]
 fn orders_outlive_the_loss_of_two_disks_and_of_all_vms_at_once() {
-    let mut net = running(&with_five(), 5);
+    let mut net = configured_net(&large_site(), 5);
     let call = net.order_hall(&"vm-3".into(), "h", true);
     net.wait_for_answer(call);
 
     for vm in net.vms() {
         net.crash(&vm);
     }
-    net.wipe(&"vm-1".into());
-    net.wipe(&"vm-4".into());
-    net.calm(300);
+    net.wipe_disk(&"vm-1".into());
+    net.wipe_disk(&"vm-4".into());
+    net.recover(300);
 
     for vm in &net.vms() {
-        expect_that!(out_at(&net, vm), elements_are![eq("h")], "{vm}");
+        expect_that!(halls_out_at(&net, vm), elements_are![eq("h")], "{vm}");
     }
 }
 
@@ -125,61 +125,61 @@
 fn the_vm_that_acknowledged_may_lose_its_disk_right_after() {
     for vm in 1..=5 {
         let vm: VmName = format!("vm-{vm}").into();
-        let mut net = running(&with_five(), 6);
+        let mut net = configured_net(&large_site(), 6);
         let call = net.order_hall(&vm, "h", true);
         net.wait_for_answer(call);
 
-        net.wipe(&vm);
+        net.wipe_disk(&vm);
         if let Some(leader) = net.leader() {
             net.crash(&leader);
         }
-        net.calm(300);
+        net.recover(300);
 
-        expect_that!(out_at(&net, &net.entry()), elements_are![eq("h")], "{vm}");
+        expect_that!(halls_out_at(&net, &net.entry()), elements_are![eq("h")], "{vm}");
     }
 }
 
 #[gtest]
 fn an_order_that_a_cut_has_held_up_past_its_opposite_changes_nothing() {
-    let mut net = running(&with_five(), 7);
+    let mut net = configured_net(&large_site(), 7);
     let cut: VmName =
         net.replicas().into_iter().find(|vm| Some(vm) != net.leader().as_ref()).unwrap();
-    net.cut = [cut.clone()].into();
+    net.partitioned = [cut.clone()].into();
     net.isolate(&cut);
     // It waits there for a leader.
     let late = net.order_hall(&cut, "h", true);
     let out = net.order_hall(&"vm-6".into(), "h", true);
     net.wait_for_answer(out);
-    net.wait(2);
+    net.run(2);
     let back = net.order_hall(&"vm-6".into(), "h", false);
     net.wait_for_answer(back);
 
-    net.calm(100);
+    net.recover(100);
 
-    expect_that!(net.seen.answered.contains(&late), eq(true));
-    expect_that!(out_at(&net, "vm-7"), is_empty());
+    expect_that!(net.observed.answered.contains(&late), eq(true));
+    expect_that!(halls_out_at(&net, "vm-7"), is_empty());
 }
 
 #[gtest]
 fn what_is_out_is_told_only_as_confirmed_after_the_question() {
-    let mut net = running(&small(), 8);
+    let mut net = configured_net(&small_site(), 8);
     let old = net.leader().unwrap();
     let call = net.order_hall(&"vm-4".into(), "h", true);
     net.wait_for_answer(call);
-    net.wait(2);
+    net.run(2);
 
     net.ask(&"vm-5".into(), NodeCall::ReadHallsOut { limit: Duration::from_secs(1) });
-    net.wait(10);
-    let told = net.seen.halls_told.clone();
+    net.run(10);
+    let told = net.observed.halls_read.clone();
     // One that is cut off has nobody to confirm it.
-    net.cut = [old.clone()].into();
+    net.partitioned = [old.clone()].into();
     net.isolate(&old);
     net.ask(&old, NodeCall::ReadHallsOut { limit: Duration::from_secs(1) });
-    net.wait(100);
+    net.run(100);
 
     expect_that!(told.len(), eq(1));
     expect_that!(told[0].as_ref().unwrap().names, elements_are![eq("h")]);
-    expect_that!(net.seen.halls_told[1], none());
+    expect_that!(net.observed.halls_read[1], none());
 }
 
 proptest! {
@@ -189,20 +189,20 @@
     /// same, and what was acknowledged and not countermanded is in force.
     #[test]
     fn halls_never_go_back_and_no_acknowledged_order_is_lost(seed in any::<u64>()) {
-        let mut net = Net::new(&small(), seed);
-        net.calm(60);
+        let mut net = Net::new(&small_site(), seed);
+        net.recover(60);
         for _ in 0..60 {
-            net.storm(6);
-            let (vm, out) = (net.pick(), net.random(2) == 0);
+            net.run_with_faults(6);
+            let (vm, out) = (net.random_vm(), net.random(2) == 0);
             let hall = ["a", "b"][net.random(2) as usize];
             net.order_hall(&vm, hall, out);
         }
-        net.calm(400);
-        let first = net.seen.halls.known("vm-1");
+        net.recover(400);
+        let first = net.observed.halls.known("vm-1");
         for vm in net.vms() {
-            prop_assert_eq!(net.seen.halls.known(&vm), first.clone());
+            prop_assert_eq!(net.observed.halls.known(&vm), first.clone());
         }
         prop_assert!(0 < first.number);
-        net.seen.halls.check_all_obeyed(&first);
+        net.observed.halls.check_all_obeyed(&first);
     }
 }
--- a/crates/core/src/node/tests/large_change.rs
+++ b/crates/core/src/node/tests/large_change.rs
@@ -25,9 +25,9 @@
 use crate::node::VmName;
 
 /// A change must be in force everywhere within this time, as the users ask.
-const IN_FORCE_WITHIN: Duration = Duration::from_millis(2_500);
+const ACTIVATION_LIMIT: Duration = Duration::from_millis(2_500);
 /// Time until a fleet has elected a leader and all daemons know it.
-const SETTLED: Duration = Duration::from_secs(5);
+const STARTUP: Duration = Duration::from_secs(5);
 /// Routes of 2 kB, so that few make a large change.
 const ROUTES: usize = 300;
 
@@ -57,28 +57,28 @@
 }
 
 /// A fleet with a small configuration in force.
-fn settled_fleet() -> Fleet {
-    settled(&site())
+fn configured_fleet() -> Fleet {
+    configured_fleet_of(&site())
 }
 
-fn settled(site: &Site) -> Fleet {
+fn configured_fleet_of(site: &Site) -> Fleet {
     let mut fleet = Fleet::new(site);
-    fleet.run(SETTLED);
+    fleet.run(STARTUP);
     let leader = fleet.leader();
     fleet.submit(&leader, 1, &file(1, 1));
-    fleet.run(SETTLED);
+    fleet.run(STARTUP);
     fleet
 }
 
 /// The VMs on which a version, or a newer one, came into force too late or not at all.
-fn late(fleet: &Fleet, version: u64) -> Vec<VmName> {
-    let in_time = |delay: &Option<Duration>| delay.is_some_and(|d| d <= IN_FORCE_WITHIN);
+fn late_vms(fleet: &Fleet, version: u64) -> Vec<VmName> {
+    let in_time = |delay: &Option<Duration>| delay.is_some_and(|d| d <= ACTIVATION_LIMIT);
     fleet.delays(version).into_iter().filter(|(_, d)| !in_time(d)).map(|(vm, _)| vm).collect()
 }
 
 #[gtest]
 fn large_changes_are_in_force_in_time_and_cost_no_leader_its_lead() {
-    let mut fleet = settled_fleet();
+    let mut fleet = configured_fleet();
     let terms = fleet.terms.clone();
     let leader = fleet.leader();
 
@@ -86,24 +86,24 @@
     fleet.run(Duration::from_millis(500));
     let submitted = fleet.now();
     fleet.submit(&leader, 3, &file(3, ROUTES + 1));
-    fleet.run(IN_FORCE_WITHIN * 2);
+    fleet.run(ACTIVATION_LIMIT * 2);
 
     let accepted = fleet.accepted_at(3).expect("it is accepted");
     expect_that!(accepted.since(submitted), lt(Duration::from_secs(1)));
-    expect_that!(late(&fleet, 2), is_empty());
-    expect_that!(late(&fleet, 3), is_empty());
+    expect_that!(late_vms(&fleet, 2), is_empty());
+    expect_that!(late_vms(&fleet, 3), is_empty());
     expect_that!(fleet.terms, eq(&terms));
 }
 
 #[gtest]
 fn a_daemon_is_sent_a_large_change_once() {
-    let mut fleet = settled_fleet();
+    let mut fleet = configured_fleet();
     let leader = fleet.leader();
     let bytes = fleet.change_bytes(&leader, &file(2, ROUTES));
     let before: Vec<usize> = site().entries.iter().map(|vm| fleet.received(vm)).collect();
 
     fleet.submit(&leader, 2, &file(2, ROUTES));
-    fleet.run(IN_FORCE_WITHIN * 2);
+    fleet.run(ACTIVATION_LIMIT * 2);
 
     for (vm, before) in site().entries.iter().zip(before) {
         let received = fleet.received(vm) - before;
@@ -114,11 +114,11 @@
 
 #[gtest]
 fn small_messages_do_not_wait_for_a_large_change() {
-    let mut fleet = settled_fleet();
+    let mut fleet = configured_fleet();
     let leader = fleet.leader();
 
     fleet.submit(&leader, 2, &file(2, ROUTES));
-    fleet.run(IN_FORCE_WITHIN * 2);
+    fleet.run(ACTIVATION_LIMIT * 2);
 
     // A grant that waits longer is seen by callers: the tightest target of the users is 100 ms.
     expect_that!(fleet.slowest_small_message(), lt(Duration::from_millis(100)));
@@ -127,17 +127,17 @@
 
 #[gtest]
 fn control_vms_that_are_cut_off_keep_no_entry_waiting() {
-    let mut fleet = settled_fleet();
+    let mut fleet = configured_fleet();
     let leader = fleet.leader();
     let others = site().replicas.into_iter().filter(|vm| *vm != leader);
-    fleet.cut = others.take(2).collect();
-    fleet.run(SETTLED);
+    fleet.partitioned = others.take(2).collect();
+    fleet.run(STARTUP);
 
     fleet.submit(&leader, 2, &file(2, ROUTES));
-    fleet.run(IN_FORCE_WITHIN * 2);
+    fleet.run(ACTIVATION_LIMIT * 2);
 
     let late: Vec<VmName> =
-        late(&fleet, 2).into_iter().filter(|vm| !fleet.cut.contains(vm)).collect();
+        late_vms(&fleet, 2).into_iter().filter(|vm| !fleet.partitioned.contains(vm)).collect();
     expect_that!(late, is_empty());
 }
 
@@ -152,7 +152,7 @@
 /// after the other, also those that a later one had made void, and fell behind a little more with each.
 #[gtest]
 fn entries_keep_up_with_large_changes_that_follow_each_other() {
-    let mut fleet = settled_fleet();
+    let mut fleet = configured_fleet();
     let leader = fleet.leader();
 
     // A change keeps an entry's link busy for half a second.
@@ -160,16 +160,16 @@
         fleet.submit(&leader, version, &replaced(version));
         fleet.run(Duration::from_millis(300));
     }
-    fleet.run(IN_FORCE_WITHIN * 2);
+    fleet.run(ACTIVATION_LIMIT * 2);
 
     for version in 2..=25 {
-        expect_that!(late(&fleet, version), is_empty(), "version {version}");
+        expect_that!(late_vms(&fleet, version), is_empty(), "version {version}");
     }
 }
 
 #[gtest]
 fn hundreds_of_entries_keep_up_with_a_storm_of_changes() {
-    let mut fleet = settled(&Site::new(5, MANY_ENTRIES));
+    let mut fleet = configured_fleet_of(&Site::new(5, MANY_ENTRIES));
     let leader = fleet.leader();
     let terms = fleet.terms.clone();
 
@@ -181,10 +181,10 @@
             fleet.run(Duration::from_millis(60));
         }
     }
-    fleet.run(IN_FORCE_WITHIN * 2);
+    fleet.run(ACTIVATION_LIMIT * 2);
 
     for version in 2..=25 {
-        expect_that!(late(&fleet, version), is_empty(), "version {version}");
+        expect_that!(late_vms(&fleet, version), is_empty(), "version {version}");
     }
     expect_that!(fleet.terms, eq(&terms));
 }
--- a/crates/core/src/node/tests/leaving_by_answer.rs
+++ b/crates/core/src/node/tests/leaving_response.rs
@@ -5,7 +5,7 @@
 
 use super::{
     net::{Net, Site},
-    suspects::running,
+    quarantine::configured_net,
 };
 use crate::{
     node::{Input, VmName},
@@ -30,36 +30,36 @@
     net.handle(&vm.into(), Input::Heartbeat(record));
 }
 
-fn says_it_leaves(net: &mut Net, vm: &str, started_at: u64) {
+fn announce_leaving(net: &mut Net, vm: &str, started_at: u64) {
     net.handle(&vm.into(), Input::Leaving { endpoint: ENDPOINT.into(), started_at });
 }
 
-fn is_open(net: &Net, vm: &VmName) -> bool {
+fn accepts_requests(net: &Net, vm: &VmName) -> bool {
     let registry = &net.hosts[vm].node.as_ref().unwrap().registry;
     registry.closed().all(|closed| **closed != *ENDPOINT)
 }
 
 /// A net whose daemons all know the endpoint.
 fn with_endpoint(seed: u64) -> Net {
-    let mut net = running(&Site::new(3, 3), seed);
+    let mut net = configured_net(&Site::new(3, 3), seed);
     heartbeat(&mut net, "vm-1", RUN, 1);
-    net.wait(20);
+    net.run(20);
     net
 }
 
 #[gtest]
 fn the_daemon_knows_at_once_and_all_others_soon() {
     let mut net = with_endpoint(51);
-    let before: Vec<bool> = net.vms().iter().map(|vm| is_open(&net, vm)).collect();
+    let before: Vec<bool> = net.vms().iter().map(|vm| accepts_requests(&net, vm)).collect();
 
-    says_it_leaves(&mut net, "vm-4", RUN);
-    let at_once = is_open(&net, &"vm-4".into());
-    net.wait(20);
+    announce_leaving(&mut net, "vm-4", RUN);
+    let at_once = accepts_requests(&net, &"vm-4".into());
+    net.run(20);
 
     expect_that!(before, each(eq(&true)));
     expect_false!(at_once);
     for vm in net.vms() {
-        expect_false!(is_open(&net, &vm), "{vm}");
+        expect_false!(accepts_requests(&net, &vm), "{vm}");
     }
 }
 
@@ -67,45 +67,45 @@
 fn a_heartbeat_that_says_the_opposite_changes_nothing() {
     let mut net = with_endpoint(52);
 
-    says_it_leaves(&mut net, "vm-4", RUN);
-    net.wait(20);
+    announce_leaving(&mut net, "vm-4", RUN);
+    net.run(20);
     heartbeat(&mut net, "vm-2", RUN, 2);
-    net.wait(20);
+    net.run(20);
 
     for vm in net.vms() {
-        expect_false!(is_open(&net, &vm), "{vm}");
+        expect_false!(accepts_requests(&net, &vm), "{vm}");
     }
 }
 
 #[gtest]
 fn a_daemon_that_nobody_reaches_knows_by_itself() {
     let mut net = with_endpoint(53);
-    net.cut = ["vm-4".into()].into();
+    net.partitioned = ["vm-4".into()].into();
     net.isolate(&"vm-4".into());
 
-    says_it_leaves(&mut net, "vm-4", RUN);
-    net.wait(20);
-    let others = is_open(&net, &"vm-5".into());
-    net.cut.clear();
-    net.calm(50);
+    announce_leaving(&mut net, "vm-4", RUN);
+    net.run(20);
+    let others = accepts_requests(&net, &"vm-5".into());
+    net.partitioned.clear();
+    net.recover(50);
 
-    expect_false!(is_open(&net, &"vm-4".into()));
+    expect_false!(accepts_requests(&net, &"vm-4".into()));
     expect_true!(others);
-    expect_false!(is_open(&net, &"vm-5".into()));
+    expect_false!(accepts_requests(&net, &"vm-5".into()));
 }
 
 #[gtest]
 fn it_speaks_of_one_run_only() {
     let mut net = with_endpoint(54);
 
-    says_it_leaves(&mut net, "vm-4", RUN);
-    net.wait(20);
+    announce_leaving(&mut net, "vm-4", RUN);
+    net.run(20);
     heartbeat(&mut net, "vm-1", RUN + 1, 1);
-    net.wait(20);
-    says_it_leaves(&mut net, "vm-5", RUN);
-    net.wait(20);
+    net.run(20);
+    announce_leaving(&mut net, "vm-5", RUN);
+    net.run(20);
 
     for vm in net.vms() {
-        expect_true!(is_open(&net, &vm), "{vm}");
+        expect_true!(accepts_requests(&net, &vm), "{vm}");
     }
 }
--- a/crates/core/src/node/tests/mod.rs
+++ b/crates/core/src/node/tests/mod.rs
@@ -1,17 +1,17 @@
 //! Properties of whole nodes: five daemons, three of them control replicas.
 
 mod backoff;
+mod bootstrap;
+mod crash_retries;
 mod fleet;
-mod founding;
 mod halls;
-mod insistent;
 mod large_change;
-mod leaving;
-mod leaving_by_answer;
-mod limits;
+mod leaving_response;
 mod net;
+mod quarantine;
+mod rate_limits;
 mod recovery;
-mod suspects;
+mod slot_leaks;
 
 use std::collections::BTreeSet;
 
@@ -22,46 +22,46 @@
 use super::*;
 
 /// Three control replicas and two entries.
-fn small() -> Site {
+fn small_site() -> Site {
     Site::new(3, 2)
 }
 
 #[gtest]
 fn an_accepted_file_is_in_force_everywhere() {
-    let mut net = Net::new(&small(), 1);
-    net.calm(100);
+    let mut net = Net::new(&small_site(), 1);
+    net.recover(100);
 
     net.submit(&"vm-4".into(), 3, "a");
-    net.calm(20);
+    net.recover(20);
 
     for vm in &net.vms() {
         expect_that!(net.version_at(vm), eq(3), "{vm}");
         expect_that!(net.hosts[vm].node.as_ref().unwrap().is_fresh(), eq(true), "{vm}");
     }
-    expect_that!(net.seen.accepted, eq(3));
+    expect_that!(net.observed.accepted, eq(3));
 }
 
 #[gtest]
 fn a_cut_off_leader_vouches_for_nothing_and_a_restarted_daemon_does_not_revert() {
-    let mut net = Net::new(&small(), 3);
-    net.calm(100);
+    let mut net = Net::new(&small_site(), 3);
+    net.recover(100);
     net.submit(&"vm-4".into(), 1, "a");
-    net.calm(20);
+    net.recover(20);
     let old = net.leader().unwrap();
     // The old leader and one daemon are cut off together; the rest go on.
     net.crash(&"vm-5".into());
-    net.cut = BTreeSet::from([old.clone(), "vm-5".into()]);
+    net.partitioned = BTreeSet::from([old.clone(), "vm-5".into()]);
     net.isolate(&old);
-    net.wait(100);
+    net.run(100);
     net.submit(&"vm-4".into(), 2, "b");
     net.start(&"vm-5".into());
-    net.wait(200);
+    net.run(200);
 
     expect_that!(net.version_at("vm-4"), eq(2));
     expect_that!(net.version_at("vm-5"), eq(0));
     let node = net.hosts[&old].node.as_ref().unwrap();
     expect_that!(node.is_fresh(), eq(false));
-    net.calm(200);
+    net.recover(200);
     expect_that!(net.version_at("vm-5"), eq(2));
 }
 
@@ -69,23 +69,23 @@
 fn a_restarted_daemon_takes_nothing_older_from_a_control_vm_that_is_behind() {
     for behind in 1..=3 {
         let behind: VmName = format!("vm-{behind}").into();
-        let mut net = Net::new(&small(), 11);
-        net.calm(100);
+        let mut net = Net::new(&small_site(), 11);
+        net.recover(100);
         net.submit(&"vm-4".into(), 1, "a");
-        net.calm(20);
+        net.recover(20);
         // One replica hears no other any more, but entries reach it.
         for other in net.replicas() {
             net.disconnect(&behind, &other);
         }
-        net.wait(100);
+        net.run(100);
         net.submit(&"vm-4".into(), 2, "b");
-        net.wait(50);
+        net.run(50);
         for entry in ["vm-4", "vm-5"] {
             net.crash(&entry.into());
             net.start(&entry.into());
         }
 
-        net.wait(100);
+        net.run(100);
 
         // That no older version came into force on the way is checked as it runs.
         expect_that!(net.version_at("vm-4"), eq(2), "behind {behind}");
@@ -95,54 +95,54 @@
 
 #[gtest]
 fn a_wiped_disk_is_repaired_before_the_next_loss() {
-    let mut net = Net::new(&small(), 5);
-    net.calm(100);
+    let mut net = Net::new(&small_site(), 5);
+    net.recover(100);
     net.submit(&"vm-4".into(), 1, "a");
-    net.calm(20);
-    net.wipe(&"vm-2".into());
+    net.recover(20);
+    net.wipe_disk(&"vm-2".into());
     net.step(false);
     expect_that!(net.control(&net.leader().unwrap()).survives_next_loss, eq(false));
 
-    net.calm(300);
+    net.recover(300);
 
     let status = net.control(&net.leader().unwrap());
     expect_that!(status.survives_next_loss, eq(true));
     expect_that!(status.replicas.iter().filter(|r| r.voter).count(), eq(3));
     // The next loss: the accepted version is still there, and another is accepted.
     net.crash(&"vm-1".into());
-    net.wait(150);
+    net.run(150);
     net.submit(&"vm-4".into(), 2, "b");
-    net.wait(50);
+    net.run(50);
     expect_that!(net.version_at("vm-5"), eq(2));
 }
 
 #[gtest]
 fn the_answer_to_a_daemons_former_run_is_not_taken_for_that_to_a_new_question() {
     for steps in 0..6 {
-        let mut net = Net::new(&small(), 13);
-        net.calm(100);
+        let mut net = Net::new(&small_site(), 13);
+        net.recover(100);
         let asker: VmName = "vm-4".into();
         net.submit(&asker, 1, "a");
-        net.wait(steps);
+        net.run(steps);
 
         net.crash(&asker);
         net.start(&asker);
         net.submit(&asker, 2, "b");
         // That the new question is not answered with the former file is checked as it runs.
-        net.wait(100);
+        net.run(100);
     }
 }
 
 /// A net without control VMs, whose entries have a configuration of one engine with four places.
 fn without_control() -> Net {
-    let mut net = Net::new(&small(), 7);
-    net.calm(100);
+    let mut net = Net::new(&small_site(), 7);
+    net.recover(100);
     net.submit(&"vm-4".into(), 1, "a");
-    net.calm(60);
+    net.recover(60);
     for vm in net.replicas() {
         net.crash(&vm);
     }
-    net.wait(100);
+    net.run(100);
     net
 }
 
@@ -155,7 +155,7 @@
     }
     net.step(false);
 
-    expect_that!(net.seen.placed.len(), eq(4));
+    expect_that!(net.observed.placed.len(), eq(4));
 }
 
 #[gtest]
@@ -165,39 +165,39 @@
     net.ask(&"vm-4".into(), NodeCall::Place(request()));
     net.step(false);
 
-    let [placement] = &net.seen.placements[..] else { panic!("{:?}", net.seen.placements) };
+    let [placement] = &net.observed.placements[..] else { panic!("{:?}", net.observed.placements) };
     let drawn: Vec<_> = placement.sampled.iter().map(|drawn| drawn.endpoint.clone()).collect();
     expect_that!(drawn, eq(&vec![placement.endpoint.clone()]));
 }
 
 #[gtest]
 fn a_granted_place_needs_no_engines_word() {
-    let mut net = Net::new(&small(), 7);
-    net.calm(100);
+    let mut net = Net::new(&small_site(), 7);
+    net.recover(100);
     net.submit(&"vm-4".into(), 1, "a");
-    net.calm(60);
+    net.recover(60);
 
     net.ask(&"vm-4".into(), NodeCall::Place(request()));
-    net.calm(20);
+    net.recover(20);
 
-    let [placement] = &net.seen.placements[..] else { panic!("{:?}", net.seen.placements) };
+    let [placement] = &net.observed.placements[..] else { panic!("{:?}", net.observed.placements) };
     expect_that!(placement.sampled, is_empty());
 }
 
 #[gtest]
 fn a_frozen_leader_does_not_hold_requests_up() {
-    let mut net = Net::new(&small(), 9);
-    net.calm(100);
+    let mut net = Net::new(&small_site(), 9);
+    net.recover(100);
     net.submit(&"vm-4".into(), 1, "a");
-    net.calm(60);
+    net.recover(60);
     let leader = net.leader().unwrap();
-    net.hosts.get_mut(&leader).unwrap().frozen = true;
+    net.hosts.get_mut(&leader).unwrap().suspended = true;
     let asker: VmName = if *leader == *"vm-4" { "vm-5".into() } else { "vm-4".into() };
 
     net.ask(&asker, NodeCall::Place(request()));
-    net.wait(100);
+    net.run(100);
 
-    expect_that!(net.seen.placed.len(), eq(1));
+    expect_that!(net.observed.placed.len(), eq(1));
 }
 
 proptest! {
@@ -205,11 +205,11 @@
 
     #[test]
     fn configurations_never_revert_and_claims_are_granted_once(seed in any::<u64>()) {
-        let mut net = Net::new(&small(), seed);
-        net.calm(60);
-        net.storm(400);
-        net.calm(400);
-        let last = net.seen.accepted;
+        let mut net = Net::new(&small_site(), seed);
+        net.recover(60);
+        net.run_with_faults(400);
+        net.recover(400);
+        let last = net.observed.accepted;
         prop_assert!(0 < last, "nothing was accepted");
         let versions: BTreeSet<u64> = net.vms().iter().map(|vm| net.version_at(vm)).collect();
         prop_assert_eq!(versions.len(), 1, "daemons differ");
--- a/crates/core/src/node/tests/net/mishaps.rs
+++ b/crates/core/src/node/tests/net/faults.rs
@@ -12,34 +12,34 @@
 
 impl Net {
     /// Any VM.
-    pub(crate) fn pick(&mut self) -> VmName {
+    pub(crate) fn random_vm(&mut self) -> VmName {
         let vms = self.vms();
         vms[self.random(vms.len() as u64) as usize].clone()
     }
 
     /// A mishap or the end of one, at any VM.
-    pub(crate) fn mishap(&mut self) {
-        let vm = self.pick();
-        let other = self.pick();
+    pub(crate) fn inject_fault(&mut self) {
+        let vm = self.random_vm();
+        let other = self.random_vm();
         match self.random(12) {
             0 => self.crash(&vm),
             1..=3 if self.hosts[&vm].node.is_none() => self.start(&vm),
             4 => self.disconnect(&vm, &other),
             5..=6 => self.connect(&vm, &other),
             7 => {
-                self.cut.insert(vm.clone());
+                self.partitioned.insert(vm.clone());
                 self.isolate(&vm);
             }
-            8 => self.cut.clear(),
-            9 => self.hosts.get_mut(&vm).unwrap().frozen ^= true,
+            8 => self.partitioned.clear(),
+            9 => self.hosts.get_mut(&vm).unwrap().suspended ^= true,
             10 => self.handle(&vm, Input::Stop),
             _ => {}
         }
     }
 
     /// What an operator or a caller asks of any VM.
-    pub(crate) fn traffic(&mut self) {
-        let vm = self.pick();
+    pub(crate) fn random_request(&mut self) {
+        let vm = self.random_vm();
         match self.random(5) {
             4 => {
                 let hall = ["a", "b"][self.random(2) as usize];
@@ -59,7 +59,7 @@
                 self.ask(&vm, NodeCall::Place(request()));
             }
             _ => {
-                if let Some(call) = self.seen.placed.pop() {
+                if let Some(call) = self.observed.placed.pop() {
                     self.handle(&vm, Input::Finished { call, tokens: 5, complete: true });
                 }
             }
@@ -76,26 +76,26 @@
             made_ms: None,
         };
         let call = CallId(self.next_call + 1);
-        self.seen.note_claim(call, key, owner);
+        self.observed.record_claim(call, key, owner);
         self.ask(vm, NodeCall::Claim { claim, limit: Duration::from_secs(2) });
     }
 
     /// Messages that are late, daemons that are cut off or frozen, operators and callers.
-    pub(crate) fn storm(&mut self, steps: usize) {
+    pub(crate) fn run_with_faults(&mut self, steps: usize) {
         for _ in 0..steps {
             self.step(true);
             if self.random(6) == 0 {
-                self.mishap();
+                self.inject_fault();
             }
-            self.traffic();
+            self.random_request();
         }
     }
 
     /// Ends all mishaps and lets time pass.
-    pub(crate) fn calm(&mut self, steps: usize) {
-        self.cut.clear();
+    pub(crate) fn recover(&mut self, steps: usize) {
+        self.partitioned.clear();
         for vm in self.vms() {
-            self.hosts.get_mut(&vm).unwrap().frozen = false;
+            self.hosts.get_mut(&vm).unwrap().suspended = false;
             if self.hosts[&vm].node.is_none() {
                 self.start(&vm);
             }
@@ -105,6 +105,6 @@
                 self.connect(&a, &b);
             }
         }
-        self.wait(steps);
+        self.run(steps);
     }
 }
--- a/crates/core/src/node/tests/net/halls.rs
+++ b/crates/core/src/node/tests/net/hall_observations.rs
@@ -10,7 +10,7 @@
 
 /// An order that an operator gave.
 #[derive(Debug, Clone)]
-struct Given {
+struct HallOrderRecord {
     hall: String,
     out: bool,
     asked: Instant,
@@ -20,23 +20,24 @@
 
 /// Orders about data halls, and what is in force where.
 #[derive(Default)]
-pub(crate) struct SeenHalls {
-    orders: BTreeMap<CallId, Given>,
+pub(crate) struct HallObservations {
+    orders: BTreeMap<CallId, HallOrderRecord>,
     /// What is out of service as of each order, wherever it was seen.
     by_number: BTreeMap<u64, HallsOut>,
     /// What each daemon knows since its start.
     known: BTreeMap<VmName, HallsOut>,
 }
 
-impl SeenHalls {
+impl HallObservations {
     /// Notes an order before it is asked.
-    pub(super) fn note_order(&mut self, call: CallId, order: &HallOrder, now: Instant) {
-        let given = Given { hall: order.hall.clone(), out: order.out, asked: now, told: None };
+    pub(super) fn record_order(&mut self, call: CallId, order: &HallOrder, now: Instant) {
+        let given =
+            HallOrderRecord { hall: order.hall.clone(), out: order.out, asked: now, told: None };
         self.orders.insert(call, given);
     }
 
     /// Takes the answer to an order.
-    pub(super) fn note_answer(&mut self, call: CallId, result: HallResult, now: Instant) {
+    pub(super) fn record_reply(&mut self, call: CallId, result: HallResult, now: Instant) {
         if matches!(result, HallResult::Done | HallResult::Repeated) {
             self.orders.get_mut(&call).unwrap().told = Some(now);
         }
@@ -79,9 +80,9 @@
     }
 
     /// Acknowledged orders of which nobody has given the opposite after they were asked.
-    fn unopposed(&self) -> impl Iterator<Item = &Given> {
-        let is_opposed = |order: &Given| {
-            let opposite = |o: &&Given| o.hall == order.hall && o.out != order.out;
+    fn unopposed(&self) -> impl Iterator<Item = &HallOrderRecord> {
+        let is_opposed = |order: &HallOrderRecord| {
+            let opposite = |o: &&HallOrderRecord| o.hall == order.hall && o.out != order.out;
             self.orders.values().filter(opposite).any(|o| order.asked <= o.asked)
         };
         let acknowledged = self.orders.values().filter(|order| order.told.is_some());
--- a/crates/core/src/node/tests/net/mod.rs
+++ b/crates/core/src/node/tests/net/mod.rs
@@ -1,10 +1,10 @@
 //! Whole nodes over links that break, with crashes, frozen processes, racing operators and
 //! lost answers; checks what the outside world sees while it runs.
 
+mod faults;
 mod fixture;
-mod halls;
-mod mishaps;
-mod seen;
+mod hall_observations;
+mod observations;
 mod site;
 
 use std::{
@@ -12,7 +12,7 @@
     time::Duration,
 };
 
-use self::{fixture::file, seen::Seen, site::Host};
+use self::{fixture::file, observations::Observations, site::Host};
 use crate::{
     config::Document,
     mechanism::Disabled,
@@ -52,9 +52,9 @@
     choices: Choices,
     next_call: u64,
     /// VMs that reach only each other.
-    pub(super) cut: BTreeSet<VmName>,
+    pub(super) partitioned: BTreeSet<VmName>,
     /// What the outside world has seen so far.
-    pub(super) seen: Seen,
+    pub(super) observed: Observations,
 }
 
 impl Net {
@@ -68,8 +68,8 @@
             now: 1_000_000,
             choices: Choices::new(seed),
             next_call: 0,
-            cut: BTreeSet::new(),
-            seen: Seen::default(),
+            partitioned: BTreeSet::new(),
+            observed: Observations::default(),
         };
         for vm in &site.replicas {
             net.hosts.insert(vm.clone(), Host::new(true, true));
@@ -97,12 +97,12 @@
     pub(super) fn start(&mut self, vm: &VmName) {
         let now = Instant(self.now);
         let seed = self.random(1 << 40);
-        self.seen.halls.started(vm);
+        self.observed.halls.started(vm);
         let host = &self.hosts[vm];
         let options = NodeOptions {
             vm: vm.clone(),
             seeds: self.seeds.clone(),
-            founders: if host.founder { self.seeds.clone() } else { Vec::new() },
+            founders: if host.bootstraps { self.seeds.clone() } else { Vec::new() },
             max_voters: self.max_voters,
             takes_callers: true,
             endpoint_heartbeat: Duration::from_secs(1),
@@ -128,7 +128,7 @@
     pub(super) fn connect(&mut self, a: &VmName, b: &VmName) {
         let runs = |vm: &VmName| self.hosts[vm].node.is_some();
         let control = self.hosts[a].replica || self.hosts[b].replica;
-        let cut = self.cut.contains(a) != self.cut.contains(b);
+        let cut = self.partitioned.contains(a) != self.partitioned.contains(b);
         let link = Link { from: a.clone(), to: b.clone() };
         if a == b || !control || cut || !runs(a) || !runs(b) || self.links.contains_key(&link) {
             return;
@@ -158,16 +158,16 @@
 
     /// Takes a VM's disk away; it starts again with an empty one, knowing that the system has
     /// started before.
-    pub(super) fn wipe(&mut self, vm: &VmName) {
+    pub(super) fn wipe_disk(&mut self, vm: &VmName) {
         self.crash(vm);
         let host = self.hosts.get_mut(vm).unwrap();
         host.disk = Disk::default();
         host.incarnation += 1;
-        host.founder = false;
+        host.bootstraps = false;
     }
 
     /// Takes a VM away for good; another one comes in its place.
-    pub(super) fn replace(&mut self, vm: &VmName) -> VmName {
+    pub(super) fn replace_vm(&mut self, vm: &VmName) -> VmName {
         self.crash(vm);
         let host = self.hosts.remove(vm).unwrap();
         let number = self.hosts.len() as u64 + 10 + self.next_call;
@@ -192,7 +192,7 @@
     pub(super) fn wait_for_answer(&mut self, call: CallId) {
         const STEPS: usize = 200;
         for _ in 0..STEPS {
-            if self.seen.answered.contains(&call) {
+            if self.observed.answered.contains(&call) {
                 return;
             }
             self.step(false);
@@ -210,7 +210,7 @@
         }
         host.node = None;
         host.writes.clear();
-        host.frozen = false;
+        host.suspended = false;
         self.isolate(vm);
     }
 
@@ -220,11 +220,11 @@
         let host = self.hosts.get_mut(vm).unwrap();
         let Some(node) = &mut host.node else { return };
         for output in node.handle(input, clocks) {
-            self.carry_out(vm, output);
+            self.execute(vm, output);
         }
     }
 
-    fn carry_out(&mut self, vm: &VmName, output: Output) {
+    fn execute(&mut self, vm: &VmName, output: Output) {
         match output {
             Output::Send(to, body) => {
                 let link = Link { from: vm.clone(), to };
@@ -235,15 +235,17 @@
             Output::Persist(number, persist) => {
                 self.hosts.get_mut(vm).unwrap().writes.push_back((number, persist));
             }
-            Output::ConfigActivated(active_config) => self.seen.check_in_force(vm, &active_config),
+            Output::ConfigActivated(active_config) => {
+                self.observed.check_in_force(vm, &active_config)
+            }
             Output::Reply(call, answer) => {
-                self.seen.check_answer(call, answer, Instant(self.now));
+                self.observed.check_answer(call, answer, Instant(self.now));
             }
             Output::ConfigFreshness { confirmed: Some(at), .. } => {
-                self.seen.check_confirmed(vm, self.version_at(vm), at);
-                self.seen.halls.check_confirmed(vm, at);
+                self.observed.check_confirmed(vm, self.version_at(vm), at);
+                self.observed.halls.check_confirmed(vm, at);
             }
-            Output::HallsOut(halls) => self.seen.halls.check(vm, &halls),
+            Output::HallsOut(halls) => self.observed.halls.check(vm, &halls),
             Output::ConfigRejected { version, reason } => {
                 panic!("version {version} is unusable: {reason}")
             }
@@ -273,7 +275,7 @@
     }
 
     /// Whether a VM's daemon runs and may send requests to endpoints.
-    pub(super) fn serves(&self, vm: &VmName) -> bool {
+    pub(super) fn is_serving(&self, vm: &VmName) -> bool {
         self.hosts[vm].node.as_ref().is_some_and(Node::is_fresh)
     }
 
@@ -294,16 +296,16 @@
             active_config.map_or((0, &nothing), |f| (f.version, &f.document));
         let command = ConfigChange::new(version, base_version, base, &document);
         let submit = Submit { file: "f.ini".into(), command, or_newer: false };
-        self.seen.note_submission(CallId(self.next_call + 1), version);
+        self.observed.record_submission(CallId(self.next_call + 1), version);
         self.ask(vm, NodeCall::Submit(submit));
     }
 
     /// Orders a data hall out of service, or back, at a VM that knows so many orders.
     pub(super) fn order_hall(&mut self, vm: &VmName, hall: &str, out: bool) -> CallId {
-        let after = self.seen.halls.known(vm).number;
+        let after = self.observed.halls.known(vm).number;
         let order = HallOrder { hall: hall.into(), out, after };
         let call = CallId(self.next_call + 1);
-        self.seen.halls.note_order(call, &order, Instant(self.now));
+        self.observed.halls.record_order(call, &order, Instant(self.now));
         self.ask(vm, NodeCall::ChangeHall { order, limit: Duration::from_secs(1) })
     }
 
@@ -316,11 +318,11 @@
     }
 
     /// One step of time: links deliver what they hold, disks sync, nodes tick.
-    pub(super) fn step(&mut self, mishaps: bool) {
+    pub(super) fn step(&mut self, faults: bool) {
         self.now += STEP_US;
         let links: Vec<Link> = self.links.keys().cloned().collect();
         for link in links {
-            if self.hosts[&link.to].frozen || (mishaps && self.random(3) == 0) {
+            if self.hosts[&link.to].suspended || (faults && self.random(3) == 0) {
                 continue;
             }
             let queue = self.links.get_mut(&link).map(std::mem::take).unwrap_or_default();
@@ -329,10 +331,10 @@
             }
         }
         for vm in self.vms() {
-            if self.hosts[&vm].frozen {
+            if self.hosts[&vm].suspended {
                 continue;
             }
-            if !mishaps || self.random(3) != 0 {
+            if !faults || self.random(3) != 0 {
                 self.sync(&vm);
             }
             self.handle(&vm, Input::Tick);
@@ -340,7 +342,7 @@
     }
 
     /// Lets time pass without mishaps; what is broken stays so.
-    pub(super) fn wait(&mut self, steps: usize) {
+    pub(super) fn run(&mut self, steps: usize) {
         for _ in 0..steps {
             self.step(false);
         }
--- a/crates/core/src/node/tests/net/seen.rs
+++ b/crates/core/src/node/tests/net/observations.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::halls::SeenHalls;
+use super::hall_observations::HallObservations;
 use crate::{
     config::ContentHash,
     node::{ActiveConfig, CallId, NodeReply, Placement, TrialAnswer, VmName},
@@ -28,7 +28,7 @@
 
 /// What the outside world has seen.
 #[derive(Default)]
-pub(crate) struct Seen {
+pub(crate) struct Observations {
     /// Hash of each version that was in force or accepted anywhere.
     hashes: BTreeMap<u64, ContentHash>,
     /// The highest version in force on each VM, over all its runs.
@@ -50,9 +50,9 @@
     /// Codes of the errors of requests that were not placed.
     pub(crate) refused: Vec<&'static str>,
     /// Orders about data halls.
-    pub(crate) halls: SeenHalls,
+    pub(crate) halls: HallObservations,
     /// What those who asked were told to be out of service.
-    pub(crate) halls_told: Vec<Option<HallsOut>>,
+    pub(crate) halls_read: Vec<Option<HallsOut>>,
     /// What tries of suspects were told.
     pub(crate) trials: BTreeMap<CallId, TrialAnswer>,
     /// What requests for permits were told.
@@ -63,14 +63,14 @@
     pub(crate) answered: BTreeSet<CallId>,
 }
 
-impl Seen {
+impl Observations {
     /// Notes the version of a file before it is submitted.
-    pub(super) fn note_submission(&mut self, call: CallId, version: u64) {
+    pub(super) fn record_submission(&mut self, call: CallId, version: u64) {
         self.submitted.insert(call, version);
     }
 
     /// Notes what a claim asks for, before it is asked.
-    pub(super) fn note_claim(&mut self, call: CallId, key: u8, owner: u64) {
+    pub(super) fn record_claim(&mut self, call: CallId, key: u8, owner: u64) {
         self.claims.insert(call, Claimed { key, owner });
     }
 
@@ -119,8 +119,8 @@
                 self.permits.insert(call, permit);
             }
             NodeReply::SuspectCleared(cleared) => self.cleared.push(cleared),
-            NodeReply::HallChange(Some(result)) => self.halls.note_answer(call, result, now),
-            NodeReply::HallsOut(halls) => self.halls_told.push(halls),
+            NodeReply::HallChange(Some(result)) => self.halls.record_reply(call, result, now),
+            NodeReply::HallsOut(halls) => self.halls_read.push(halls),
             NodeReply::Placed(Err(error)) => self.refused.push(error.kind.answer().code),
             NodeReply::Placed(Ok(placement)) => {
                 self.placed.push(call);
--- a/crates/core/src/node/tests/net/site.rs
+++ b/crates/core/src/node/tests/net/site.rs
@@ -42,26 +42,26 @@
     /// Writes that were handed out and are not synced.
     pub(super) writes: VecDeque<(u64, Persist)>,
     /// Whether the daemon is suspended: it gets no messages and no ticks.
-    pub(crate) frozen: bool,
+    pub(crate) suspended: bool,
     /// How many disks were lost before this one.
     pub(super) incarnation: u64,
     /// Whether it runs a control replica.
     pub(super) replica: bool,
     /// Whether it was there when the system first started.
-    pub(crate) founder: bool,
+    pub(crate) bootstraps: bool,
 }
 
 impl Host {
     /// A VM with an empty disk whose daemon does not run yet.
-    pub(super) fn new(replica: bool, founder: bool) -> Host {
+    pub(super) fn new(replica: bool, bootstraps: bool) -> Host {
         Host {
             node: None,
             disk: Disk::default(),
             writes: VecDeque::new(),
-            frozen: false,
+            suspended: false,
             incarnation: 0,
             replica,
-            founder,
+            bootstraps,
         }
     }
 }
--- a/crates/core/src/node/tests/limits.rs
+++ b/crates/core/src/node/tests/rate_limits.rs
@@ -9,7 +9,7 @@
 
 use super::{
     net::{Net, Site},
-    suspects::running,
+    quarantine::configured_net,
 };
 use crate::{
     node::{CallId, Input, Node, NodeCall, VmName},
@@ -76,8 +76,8 @@
     }
 
     /// A caller comes to a daemon, which does with its request what the server does.
-    fn come_to(&mut self, net: &mut Net, vm: &VmName, max_wait: Duration) {
-        if !net.serves(vm) || net.hosts[vm].frozen {
+    fn send_request(&mut self, net: &mut Net, vm: &VmName, max_wait: Duration) {
+        if !net.is_serving(vm) || net.hosts[vm].suspended {
             return;
         }
         if limit_at(net, vm).is_none() {
@@ -94,7 +94,7 @@
         net.step(false);
         self.step += 1;
         for (vm, call) in std::mem::take(&mut self.asked) {
-            match net.seen.permits.get(&call) {
+            match net.observed.permits.get(&call) {
                 None => self.asked.push((vm, call)),
                 Some(Permit::Granted(_)) => self.send(net, &vm),
                 Some(Permit::Denied { .. }) => {}
@@ -121,7 +121,7 @@
                 if n == 0 || (self.step + n).is_multiple_of(7) {
                     let max_wait = Duration::from_millis(if n % 2 == 0 { 0 } else { 400 });
                     let vm = self.entries[n].clone();
-                    self.come_to(net, &vm, max_wait);
+                    self.send_request(net, &vm, max_wait);
                 }
             }
         }
@@ -149,12 +149,12 @@
 }
 
 /// Callers that come for 24 s, with a mishap at a step.
-fn play(seed: u64, mishap_at: usize, mishap: impl Fn(&mut Net)) -> Callers {
-    let mut net = running(&Site::new(3, 3), seed);
+fn play(seed: u64, fault_at: usize, fault: impl Fn(&mut Net)) -> Callers {
+    let mut net = configured_net(&Site::new(3, 3), seed);
     let mut callers = Callers::new(&net);
-    callers.play(&mut net, mishap_at);
-    mishap(&mut net);
-    callers.play(&mut net, 1_200 - mishap_at);
+    callers.play(&mut net, fault_at);
+    fault(&mut net);
+    callers.play(&mut net, 1_200 - fault_at);
     callers
 }
 
@@ -169,12 +169,12 @@
 
 #[gtest]
 fn a_daemon_knows_of_a_limit_that_another_has_read() {
-    let mut net = running(&Site::new(3, 3), 22);
+    let mut net = configured_net(&Site::new(3, 3), 22);
     let asked = net.time();
 
-    net.wait(1);
+    net.run(1);
     read(&mut net, &"vm-4".into(), asked, Some(LIMIT));
-    net.wait(15);
+    net.run(15);
 
     for vm in net.vms() {
         expect_that!(limit_at(&net, &vm), some(near(LIMIT, 1e-6)), "{vm}");
@@ -183,16 +183,16 @@
 
 #[gtest]
 fn a_daemon_knows_when_a_limit_is_lifted() {
-    let mut net = running(&Site::new(3, 3), 23);
+    let mut net = configured_net(&Site::new(3, 3), 23);
     let asked = net.time();
-    net.wait(1);
+    net.run(1);
     read(&mut net, &"vm-4".into(), asked, Some(LIMIT));
-    net.wait(15);
+    net.run(15);
     let asked = net.time();
 
-    net.wait(1);
+    net.run(1);
     read(&mut net, &"vm-5".into(), asked, None);
-    net.wait(15);
+    net.run(15);
 
     for vm in net.vms() {
         expect_that!(limit_at(&net, &vm), none(), "{vm}");
@@ -201,7 +201,7 @@
 
 #[gtest]
 fn a_limit_that_falls_and_rises_is_followed() {
-    let mut net = running(&Site::new(3, 3), 24);
+    let mut net = configured_net(&Site::new(3, 3), 24);
     let mut callers = Callers::new(&net);
     let mut sent = |limit: Option<f64>, steps| {
         callers.limit = limit;
@@ -223,23 +223,23 @@
 
 #[gtest]
 fn the_loss_of_the_leader_at_any_step_lets_no_more_through() {
-    for mishap_at in (300..420).step_by(3) {
-        let callers = play(25, mishap_at, |net| {
+    for fault_at in (300..420).step_by(3) {
+        let callers = play(25, fault_at, |net| {
             let leader = net.leader().unwrap();
             net.crash(&leader);
         });
 
         let most = most_within(STEPS, &callers.got_from_told);
-        expect_that!(most, le(ALLOWED), "lost at step {mishap_at}");
+        expect_that!(most, le(ALLOWED), "lost at step {fault_at}");
     }
 }
 
 #[gtest]
 fn control_vms_that_nobody_reaches_for_a_while_let_no_more_through() {
-    for mishap_at in (300..420).step_by(9) {
-        let mut net = running(&Site::new(3, 3), 26);
+    for fault_at in (300..420).step_by(9) {
+        let mut net = configured_net(&Site::new(3, 3), 26);
         let mut callers = Callers::new(&net);
-        callers.play(&mut net, mishap_at);
+        callers.play(&mut net, fault_at);
         let replicas = net.replicas();
         replicas.iter().for_each(|vm| net.crash(vm));
         callers.play(&mut net, 150);
@@ -247,32 +247,32 @@
         callers.play(&mut net, 600);
 
         let most = most_within(STEPS, &callers.got_from_told);
-        expect_that!(most, le(ALLOWED), "not reached from step {mishap_at}");
+        expect_that!(most, le(ALLOWED), "not reached from step {fault_at}");
     }
 }
 
 #[gtest]
 fn a_leader_or_an_entry_that_is_suspended_lets_no_more_through() {
-    for mishap_at in (300..420).step_by(9) {
+    for fault_at in (300..420).step_by(9) {
         for leads in [false, true] {
-            let mut net = running(&Site::new(3, 3), 27);
+            let mut net = configured_net(&Site::new(3, 3), 27);
             let mut callers = Callers::new(&net);
-            callers.play(&mut net, mishap_at);
+            callers.play(&mut net, fault_at);
             let vm = if leads { net.leader().unwrap() } else { "vm-5".into() };
-            net.hosts.get_mut(&vm).unwrap().frozen = true;
+            net.hosts.get_mut(&vm).unwrap().suspended = true;
             callers.play(&mut net, 300);
-            net.hosts.get_mut(&vm).unwrap().frozen = false;
+            net.hosts.get_mut(&vm).unwrap().suspended = false;
             callers.play(&mut net, 600);
 
             let most = most_within(STEPS, &callers.got_from_told);
-            expect_that!(most, le(ALLOWED), "leads {leads}, at step {mishap_at}");
+            expect_that!(most, le(ALLOWED), "leads {leads}, at step {fault_at}");
         }
     }
 }
 
 #[gtest]
 fn an_entry_that_starts_anew_is_told_before_it_sends_more_than_a_few() {
-    let mut net = running(&Site::new(3, 3), 28);
+    let mut net = configured_net(&Site::new(3, 3), 28);
     let mut callers = Callers::new(&net);
     callers.play(&mut net, 400);
     let before = callers.got.len();
--- a/crates/core/src/node/tests/recovery.rs
+++ b/crates/core/src/node/tests/recovery.rs
@@ -12,7 +12,7 @@
 const ENTRIES: usize = 295;
 const ENDPOINTS: usize = 3_000;
 /// Time until a fleet has elected a leader and all daemons know it.
-const SETTLED: Duration = Duration::from_secs(5);
+const STARTUP: Duration = Duration::from_secs(5);
 
 fn record(n: usize) -> EndpointRecord {
     EndpointRecord {
@@ -31,7 +31,7 @@
     let mut fleet = Fleet::new(site);
     let records: Vec<EndpointRecord> = (0..ENDPOINTS).map(record).collect();
     fleet.recall(site, &records);
-    fleet.run(SETTLED);
+    fleet.run(STARTUP);
     let leader = fleet.leader();
     let file = "[deployment]\nname = d\nversion = 1\n[tier t]\nrank = 1\n\
                 [service engines]\nslots = 24\nkv_tokens = 33640\n";
@@ -50,8 +50,8 @@
     fleet.restart_entries(&site);
     fleet.run(Duration::from_secs(3));
 
-    let knew = fleet.all_knew(&site.entries, ENDPOINTS);
-    let confirmed = fleet.all_confirmed(&site.entries);
+    let knew = fleet.all_known_at(&site.entries, ENDPOINTS);
+    let confirmed = fleet.all_confirmed_at(&site.entries);
     expect_that!(knew.map(|at| at.since(before)), some(lt(Duration::from_secs(1))));
     expect_that!(confirmed.map(|at| at.since(before)), some(lt(Duration::from_secs(1))));
     expect_that!(fleet.terms, eq(&terms));
--- a/crates/core/src/node/tests/leaving.rs
+++ b/crates/core/src/node/tests/slot_leaks.rs
@@ -59,9 +59,9 @@
 impl Traffic {
     fn begin(seed: u64) -> Traffic {
         let mut net = Net::new(&Site::new(3, 2), seed);
-        net.calm(60);
+        net.recover(60);
         net.submit(&"vm-4".into(), 1, "a");
-        net.calm(60);
+        net.recover(60);
         Traffic { net, requests: Vec::new() }
     }
 
@@ -106,7 +106,7 @@
                     self.net.handle(&leader, Input::Stop);
                 }
             }
-            Step::TimePasses(steps) => self.net.wait(usize::from(steps)),
+            Step::TimePasses(steps) => self.net.run(usize::from(steps)),
         }
     }
 
@@ -123,7 +123,7 @@
                 self.net.handle(&entry, input);
             }
         }
-        self.net.calm(200);
+        self.net.recover(200);
     }
 
     /// The schedulers that decide now: the leader's, and each entry's own.
@@ -165,7 +165,7 @@
     }
     traffic.step(Step::TimePasses(5));
 
-    expect_that!(traffic.net.seen.placed.len(), eq(3));
+    expect_that!(traffic.net.observed.placed.len(), eq(3));
     let running: usize = traffic.schedulers().iter().map(|s| s.running()).max().unwrap();
     expect_that!(running, eq(3));
 }
