--- a/crates/core/src/node/config_changes_tests.rs
+++ b/crates/core/src/node/config_changes_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of changes in pieces, from a control VM to a daemon that fetches them.
+//! Tests of fetching configuration changes from control VMs in pieces.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 
 const NOW: Instant = Instant(1_000_000);
 
-/// A document whose sections `0..count` have this many bytes each, which tell the version.
+/// A document with `count` sections of this many bytes each, whose content depends on the version.
 fn document(version: u64, count: usize, bytes: usize) -> Document {
     let mut document = Document::default();
     for n in 0..count {
@@ -32,7 +32,7 @@
     document
 }
 
-/// A control VM that has accepted some versions.
+/// A control VM with accepted versions.
 #[derive(Default)]
 struct Source {
     state: State,
@@ -40,7 +40,7 @@
 }
 
 impl Source {
-    /// Accepts a version whose sections `0..count` have this many bytes each.
+    /// Accepts a version with `count` sections of this many bytes each.
     fn accept(&mut self, version: u64, count: usize, bytes: usize) {
         let document = document(version, count, bytes);
         let (base, before) = (self.state.version(), self.state.document());
@@ -57,13 +57,13 @@
     }
 
     /// All pieces for a daemon at this version.
-    fn all(&mut self, after: u64) -> Vec<Piece> {
+    fn all_pieces(&mut self, after: u64) -> Vec<Piece> {
         self.answer(&Fetch { after, count: u64::MAX, ..Fetch::default() }).unwrap()
     }
 }
 
-/// What a daemon has asked for since the last call.
-fn asked(out: &mut Outbox) -> Vec<(VmName, Fetch)> {
+/// Takes the fetches that the daemon has sent.
+fn take_fetches(out: &mut Outbox) -> Vec<(VmName, Fetch)> {
     let fetch = |output| match output {
         Output::Send(to, Body::Fetch(fetch)) => Some((to, fetch)),
         _ => None,
@@ -71,24 +71,24 @@
     std::mem::take(&mut out.outputs).into_iter().filter_map(fetch).collect()
 }
 
-/// Feeds a fetch from sources until the change is whole. Of what a source answers some is lost
-/// while another is asked, and some comes twice.
-fn fetch_all(sources: &mut [Source], in_force: u64, seed: u64) -> AcceptedChange {
+/// Runs a fetch until the change is complete. The source is changed at random; some requests to the
+/// previous one are lost, and some of its pieces arrive late.
+fn fetch_all(sources: &mut [Source], active_version: u64, seed: u64) -> AcceptedChange {
     let mut choices = Choices::new(seed);
     let names: Vec<VmName> = (0..sources.len()).map(|n| format!("{n}").into()).collect();
     let mut out = Outbox::default();
-    let mut config_fetch = ConfigFetch::start(names[0].clone(), in_force, NOW, &mut out);
+    let mut config_fetch = ConfigFetch::start(names[0].clone(), active_version, NOW, &mut out);
     for _ in 0..10_000 {
-        let mut asked = asked(&mut out);
-        if asked.is_empty() || choices.below(8) == 0 {
+        let mut fetches = take_fetches(&mut out);
+        if fetches.is_empty() || choices.below(8) == 0 {
             let other = choices.below(names.len() as u64) as usize;
             config_fetch.switch_source(names[other].clone(), NOW, &mut out);
-            // What was asked before is lost on the way, or comes late.
+            // Earlier requests are lost or answered late.
             if choices.below(2) == 0 {
-                asked.clear();
+                fetches.clear();
             }
         }
-        for (to, fetch) in asked {
+        for (to, fetch) in fetches {
             let source = &mut sources[to.parse::<usize>().unwrap()];
             for piece in source.answer(&fetch).unwrap_or_default() {
                 if let PieceOutcome::Complete(change) = config_fetch.on_piece(piece, NOW, &mut out)
@@ -98,16 +98,16 @@
             }
         }
     }
-    panic!("the change never became whole");
+    panic!("the fetch did not complete");
 }
 
 #[gtest]
-fn a_large_change_is_cut_at_sections_into_small_pieces() {
+fn large_change_is_split_at_sections() {
     let mut source = Source::default();
     source.accept(1, 1, 10);
     source.accept(2, 400, 1_000);
 
-    let pieces = source.all(1);
+    let pieces = source.all_pieces(1);
 
     expect_that!(pieces.len(), ge(400 * 1_000 / PIECE_BYTES));
     for piece in &pieces {
@@ -119,21 +119,21 @@
 }
 
 #[gtest]
-fn a_piece_is_made_once_for_all_daemons() {
+fn daemons_share_encoded_pieces() {
     let mut source = Source::default();
     source.accept(1, 1, 10);
     source.accept(2, 100, 1_000);
 
-    let (first, second) = (source.all(1), source.all(1));
+    let (first, second) = (source.all_pieces(1), source.all_pieces(1));
 
-    let places = |pieces: &[Piece]| -> Vec<*const u8> {
+    let addresses = |pieces: &[Piece]| -> Vec<*const u8> {
         pieces.iter().map(|piece| piece.delta.as_ptr()).collect()
     };
-    expect_that!(places(&first), eq(&places(&second)));
+    expect_that!(addresses(&first), eq(&addresses(&second)));
 }
 
 #[gtest]
-fn a_daemon_with_the_newest_version_is_answered_once_there_is_a_newer_one() {
+fn fetch_of_newest_version_waits_for_next() {
     let mut source = Source::default();
     source.accept(1, 1, 10);
     let fetch = Fetch { after: 1, count: 3, ..Fetch::default() };
@@ -147,39 +147,39 @@
 }
 
 #[gtest]
-fn a_daemon_that_lacks_several_changes_gets_what_they_come_to_together() {
+fn missed_changes_are_merged() {
     let mut source = Source::default();
     source.accept(1, 1, 10);
     for version in 2..=6 {
         source.accept(version, 100, 1_000);
     }
 
-    let pieces = source.all(2);
+    let pieces = source.all_pieces(2);
 
     let change = &pieces[0].change;
     expect_that!((change.base, change.version), eq((2, 6)));
     let bytes: usize = pieces.iter().map(|piece| piece.delta.len()).sum();
-    // As much as one of them, not as all four.
+    // About the size of one change, not of all four.
     expect_that!(bytes, lt(2 * 100 * 1_000));
 }
 
 #[gtest]
-fn a_daemon_that_lacks_more_than_is_kept_gets_the_whole_document() {
+fn daemon_too_far_behind_gets_whole_document() {
     let mut source = Source::default();
-    // Each is a change of a megabyte.
+    // Each change has one megabyte.
     for version in 1..10 {
         source.accept(version, 20, 50_000);
     }
 
-    let behind = source.all(1);
-    let nearly = source.all(8);
+    let far_behind = source.all_pieces(1);
+    let one_behind = source.all_pieces(8);
 
-    expect_that!((behind[0].change.base, behind[0].change.version), eq((0, 9)));
-    expect_that!((nearly[0].change.base, nearly[0].change.version), eq((8, 9)));
+    expect_that!((far_behind[0].change.base, far_behind[0].change.version), eq((0, 9)));
+    expect_that!((one_behind[0].change.base, one_behind[0].change.version), eq((8, 9)));
 }
 
 #[gtest]
-fn a_daemon_that_began_with_a_whole_document_gets_the_rest_of_that_one() {
+fn begun_document_is_continued_after_new_version() {
     let mut source = Source::default();
     source.accept(1, 100, 1_000);
     let first = source.answer(&Fetch { count: 1, ..Fetch::default() }).unwrap().remove(0);
@@ -192,20 +192,20 @@
 }
 
 #[gtest]
-fn a_daemon_whose_change_is_not_kept_is_sent_the_begin_of_another() {
+fn fetch_of_unknown_change_restarts_with_another() {
     let mut source = Source::default();
     source.accept(1, 200, 1_000);
-    let gone = ChangeId { version: 7, ..ChangeId::default() };
+    let unknown = ChangeId { version: 7, ..ChangeId::default() };
 
-    let one_more = Fetch { begun: Some(gone), first: 9, count: 1, after: 0 };
-    let pieces = source.answer(&one_more).unwrap();
+    let next_piece = Fetch { begun: Some(unknown), first: 9, count: 1, after: 0 };
+    let pieces = source.answer(&next_piece).unwrap();
 
     let numbers: Vec<u64> = pieces.iter().map(|piece| piece.number).collect();
     expect_that!(numbers, eq(&vec![0, 1, 2]));
 }
 
 #[gtest]
-fn a_change_of_another_source_begins_anew() {
+fn change_of_other_source_restarts_fetch() {
     let mut out = Outbox::default();
     let mut config_fetch = ConfigFetch::start("a".into(), 1, NOW, &mut out);
     let piece = |version, number, last| {
@@ -214,17 +214,17 @@
     };
     config_fetch.on_piece(piece(2, 0, false), NOW, &mut out);
 
-    let crossed = config_fetch.on_piece(piece(3, 1, true), NOW, &mut out);
-    let anew = config_fetch.on_piece(piece(3, 0, false), NOW, &mut out);
-    let whole = config_fetch.on_piece(piece(3, 1, true), NOW, &mut out);
+    let stray = config_fetch.on_piece(piece(3, 1, true), NOW, &mut out);
+    let restarted = config_fetch.on_piece(piece(3, 0, false), NOW, &mut out);
+    let last = config_fetch.on_piece(piece(3, 1, true), NOW, &mut out);
 
-    expect_that!((crossed, anew), eq(&(PieceOutcome::Partial, PieceOutcome::Partial)));
-    let PieceOutcome::Complete(change) = whole else { panic!("{whole:?}") };
+    expect_that!((stray, restarted), eq(&(PieceOutcome::Partial, PieceOutcome::Partial)));
+    let PieceOutcome::Complete(change) = last else { panic!("{last:?}") };
     expect_that!(change.id.version, eq(3));
 }
 
 #[gtest]
-fn a_source_without_a_first_piece_is_given_up_soon_and_one_that_has_sent_some_later() {
+fn timeout_is_shorter_before_first_piece() {
     let mut out = Outbox::default();
     let mut source = Source::default();
     source.accept(1, 1, 10);
@@ -234,7 +234,7 @@
     let first = config_fetch.timeout_at().since(NOW);
     config_fetch.switch_source("b".into(), NOW, &mut out);
     let second = config_fetch.timeout_at().since(NOW);
-    config_fetch.on_piece(source.all(1).remove(0), NOW, &mut out);
+    config_fetch.on_piece(source.all_pieces(1).remove(0), NOW, &mut out);
     let later = config_fetch.timeout_at().since(NOW);
 
     expect_that!(first, lt(Duration::from_millis(200)));
@@ -246,23 +246,23 @@
     #![proptest_config(fixed_seed(200))]
 
     #[test]
-    fn a_fetch_ends_with_the_change_whatever_is_lost_and_whoever_answers(
+    fn fetch_survives_losses_and_source_changes(
         seed in any::<u64>(),
         before in 0usize..40,
         after in 1usize..40,
         bytes in 1usize..9_000,
-        starts_anew in any::<bool>(),
+        whole_document in any::<bool>(),
     ) {
         let mut sources = [Source::default(), Source::default(), Source::default()];
         for source in &mut sources {
             source.accept(1, before, bytes);
             source.accept(2, after, bytes);
         }
-        // One has lost what it kept of earlier changes and has only the document.
+        // One source has no recent changes, only the document.
         sources[1].changes = ConfigChanges::default();
 
-        let in_force = if starts_anew { 0 } else { 1 };
-        let change = fetch_all(&mut sources, in_force, seed);
+        let active_version = if whole_document { 0 } else { 1 };
+        let change = fetch_all(&mut sources, active_version, seed);
 
         let mut document = match change.id.base {
             0 => Document::default(),
@@ -274,7 +274,7 @@
     }
 
     #[test]
-    fn a_daemon_behind_by_any_number_of_versions_ends_at_the_newest(
+    fn fetch_from_any_version_reaches_newest(
         seed in any::<u64>(),
         counts in proptest::collection::vec(0usize..40, 2..8),
         bytes in 1usize..9_000,
--- a/crates/core/src/node/config_store_tests.rs
+++ b/crates/core/src/node/config_store_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what may come into force on a daemon.
+//! Tests of which configurations a daemon activates.
 
 use googletest::prelude::*;
 
@@ -19,8 +19,8 @@
     Document::parse("f", &format!("[deployment]\nname = d\nversion = {version}\n")).unwrap()
 }
 
-/// A document that this release does not take.
-fn strange() -> Document {
+/// A document that this release rejects.
+fn unsupported() -> Document {
     Document::parse("f", "[deployment]\nname = d\nversion = 2\n[novelty]\n").unwrap()
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl Daemon {
-    /// A daemon at which version 1 is in force.
+    /// A daemon with version 1 active.
     fn at_version_1() -> Daemon {
         let mut daemon = Daemon::without_configuration();
         daemon.config_store.on_version_confirmed(0);
@@ -47,7 +47,7 @@
         Daemon { config_store: ConfigStore::new(NOW), sources, out: Outbox::default() }
     }
 
-    /// Hears of a version that was accepted, with what it changes.
+    /// Receives the announcement of an accepted version with its delta.
     fn update(&mut self, change: ConfigChange) -> bool {
         let ConfigChange { version, base, hash, delta } = change;
         let change = ChangeId { version, base, hash };
@@ -55,7 +55,7 @@
         self.config_store.update(update, &self.sources, NOW, &mut self.out)
     }
 
-    /// Gets a whole document in one piece.
+    /// Receives a whole document in one piece.
     fn piece(&mut self, version: u64, document: &Document) -> bool {
         let delta = EncodedDelta::write(&Document::default().delta_to(document));
         let hash = document.content_hash().0.to_vec().into();
@@ -64,7 +64,7 @@
         self.config_store.piece(piece, &self.sources, NOW, &mut self.out)
     }
 
-    /// Looks whether something is missing.
+    /// Fetches what is missing.
     fn fetch(&mut self) {
         self.config_store.fetch_if_missing(&self.sources, NOW, &mut self.out);
     }
@@ -73,8 +73,8 @@
         self.config_store.version_hash().version
     }
 
-    /// What it has asked for since the last call.
-    fn asked(&mut self) -> Vec<Fetch> {
+    /// Takes the fetches that the daemon has sent.
+    fn take_fetches(&mut self) -> Vec<Fetch> {
         let fetch = |output| match output {
             Output::Send(_, Body::Fetch(fetch)) => Some(fetch),
             _ => None,
@@ -84,25 +84,25 @@
 }
 
 #[gtest]
-fn a_version_that_this_release_does_not_take_is_asked_for_once() {
+fn rejected_version_is_not_fetched_again() {
     let mut daemon = Daemon::at_version_1();
 
-    let taken = daemon.update(ConfigChange::new(2, 1, &document(1), &strange()));
+    let activated = daemon.update(ConfigChange::new(2, 1, &document(1), &unsupported()));
     daemon.fetch();
-    let asked_again = daemon.asked();
-    daemon.update(ConfigChange::new(3, 2, &strange(), &document(3)));
-    let asked = daemon.asked();
-
-    expect_that!((taken, daemon.version()), eq((false, 1)));
-    expect_that!(asked_again, is_empty());
-    // No change leads on from a version that is not there: the whole document does.
-    expect_that!(asked.iter().map(|fetch| fetch.after).collect::<Vec<_>>(), eq(&vec![0]));
+    let fetches_after_rejection = daemon.take_fetches();
+    daemon.update(ConfigChange::new(3, 2, &unsupported(), &document(3)));
+    let fetches = daemon.take_fetches();
+
+    expect_that!((activated, daemon.version()), eq((false, 1)));
+    expect_that!(fetches_after_rejection, is_empty());
+    // A delta on a rejected version does not apply, so the whole document is fetched.
+    expect_that!(fetches.iter().map(|fetch| fetch.after).collect::<Vec<_>>(), eq(&vec![0]));
     expect_that!(daemon.piece(3, &document(3)), eq(true));
     expect_that!(daemon.version(), eq(3));
 }
 
 #[gtest]
-fn a_first_configuration_is_no_older_than_what_was_confirmed_first() {
+fn first_config_is_not_older_than_first_confirmation() {
     let mut daemon = Daemon::without_configuration();
     daemon.config_store.on_version_confirmed(5);
     daemon.fetch();
@@ -119,24 +119,24 @@
 }
 
 #[gtest]
-fn nothing_comes_into_force_before_a_leader_has_confirmed_anything() {
+fn nothing_is_activated_before_first_confirmation() {
     let mut daemon = Daemon::without_configuration();
 
-    let taken = daemon.update(ConfigChange::new(1, 0, &Document::default(), &document(1)));
+    let activated = daemon.update(ConfigChange::new(1, 0, &Document::default(), &document(1)));
 
-    expect_that!((taken, daemon.version()), eq((false, 0)));
-    expect_that!(daemon.asked(), is_empty());
+    expect_that!((activated, daemon.version()), eq((false, 0)));
+    expect_that!(daemon.take_fetches(), is_empty());
 }
 
 #[gtest]
-fn content_that_does_not_fit_its_hash_is_not_taken() {
+fn content_with_wrong_hash_is_rejected() {
     let mut daemon = Daemon::at_version_1();
     let mut change = ConfigChange::new(2, 1, &document(1), &document(2));
     change.hash = document(3).content_hash().0.to_vec().into();
 
-    let taken = daemon.update(change);
+    let activated = daemon.update(change);
 
-    expect_that!((taken, daemon.version()), eq((false, 1)));
-    let asked = daemon.asked();
-    expect_that!(asked.iter().map(|fetch| fetch.after).collect::<Vec<_>>(), eq(&vec![1]));
+    expect_that!((activated, daemon.version()), eq((false, 1)));
+    let fetches = daemon.take_fetches();
+    expect_that!(fetches.iter().map(|fetch| fetch.after).collect::<Vec<_>>(), eq(&vec![1]));
 }
--- a/crates/core/src/node/members_tests.rs
+++ b/crates/core/src/node/members_tests.rs
@@ -1,4 +1,4 @@
-//! Who founds the group, and how its members change.
+//! Tests of bootstrapping the replication group and repairing its membership.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     entries.iter().map(|(n, id, empty)| (vm(*n), Peer { id: *id, empty: *empty })).collect()
 }
 
-/// The only voter of a group, leading, with these other members.
+/// A leader that is the only voter, with these other members.
 fn leader(members: &[(u64, ReplicaId, bool)]) -> Replica {
     let member = |(n, id, voter): &(u64, ReplicaId, bool)| Member {
         id: *id,
@@ -51,7 +51,7 @@
     replica
 }
 
-/// Writes and syncs until nothing is left to write.
+/// Syncs all pending writes of the replica.
 fn sync(replica: &mut Replica, now: Instant) {
     loop {
         let ready = replica.take_ready();
@@ -63,36 +63,36 @@
 }
 
 #[gtest]
-fn the_first_seed_founds_once_all_seeds_are_empty_and_linked() {
-    let seeds = [vm(1), vm(2), vm(3)];
-    let all = peers(&[(2, 2, true), (3, 3, true)]);
+fn first_founder_bootstraps_when_all_are_empty() {
+    let founders = [vm(1), vm(2), vm(3)];
+    let linked = peers(&[(2, 2, true), (3, 3, true)]);
 
-    let founded = bootstrap_membership(&vm(1), &seeds, &empty_replica(1), &all).unwrap();
+    let initial = bootstrap_membership(&vm(1), &founders, &empty_replica(1), &linked).unwrap();
 
-    expect_that!(founded.voters().count(), eq(3));
+    expect_that!(initial.voters().count(), eq(3));
 }
 
 #[gtest]
-fn nobody_founds_while_a_seed_is_missing_or_has_a_log() {
-    let seeds = [vm(1), vm(2), vm(3)];
+fn bootstrap_needs_all_founders_empty_and_linked() {
+    let founders = [vm(1), vm(2), vm(3)];
     let missing = peers(&[(2, 2, true)]);
     let wiped = peers(&[(2, 2, true), (3, 3, false)]);
-    let all = peers(&[(2, 2, true), (3, 3, true)]);
+    let linked = peers(&[(2, 2, true), (3, 3, true)]);
 
-    expect_that!(bootstrap_membership(&vm(1), &seeds, &empty_replica(1), &missing), none());
-    expect_that!(bootstrap_membership(&vm(1), &seeds, &empty_replica(1), &wiped), none());
-    expect_that!(bootstrap_membership(&vm(2), &seeds, &empty_replica(2), &all), none());
+    expect_that!(bootstrap_membership(&vm(1), &founders, &empty_replica(1), &missing), none());
+    expect_that!(bootstrap_membership(&vm(1), &founders, &empty_replica(1), &wiped), none());
+    expect_that!(bootstrap_membership(&vm(2), &founders, &empty_replica(2), &linked), none());
 }
 
 #[gtest]
-fn a_vm_that_came_later_founds_nothing() {
-    let all = peers(&[(2, 2, true), (3, 3, true)]);
+fn bootstrap_needs_configured_founders() {
+    let linked = peers(&[(2, 2, true), (3, 3, true)]);
 
-    expect_that!(bootstrap_membership(&vm(1), &[], &empty_replica(1), &all), none());
+    expect_that!(bootstrap_membership(&vm(1), &[], &empty_replica(1), &linked), none());
 }
 
 #[gtest]
-fn a_new_control_vm_learns_first() {
+fn new_control_vm_joins_as_learner() {
     let replica = leader(&[]);
 
     let next = repair_membership(&vm(1), &replica, &peers(&[(2, 2, true)]), 5, Instant(1_000_000))
@@ -103,18 +103,18 @@
 }
 
 #[gtest]
-fn a_learner_that_has_caught_up_votes() {
+fn caught_up_learner_is_promoted() {
     let replica = leader(&[(2, 2, false)]);
     let linked = peers(&[(2, 2, true)]);
 
-    // The log is shorter than what a learner may lack.
+    // The whole log is shorter than the allowed lag.
     let next = repair_membership(&vm(1), &replica, &linked, 5, Instant(1_000_000)).unwrap();
 
     expect_that!(next.is_voter(2), eq(true));
 }
 
 #[gtest]
-fn a_wiped_vm_gives_up_its_old_place_before_it_votes_again() {
+fn old_replica_of_wiped_vm_is_removed_first() {
     let replica = leader(&[(2, 2, true), (2, 22, false)]);
     let linked = peers(&[(2, 22, true)]);
 
@@ -125,7 +125,7 @@
 }
 
 #[gtest]
-fn with_enough_voters_a_learner_stands_by() {
+fn learner_is_not_promoted_beyond_max_voters() {
     let replica = leader(&[(2, 2, false)]);
     let linked = peers(&[(2, 2, true)]);
 
@@ -135,7 +135,7 @@
 }
 
 #[gtest]
-fn a_learner_that_is_gone_is_dropped() {
+fn silent_learner_is_removed() {
     let replica = leader(&[(2, 2, false)]);
 
     let soon = repair_membership(&vm(1), &replica, &peers(&[]), 5, Instant(2_000_000));
--- a/crates/core/src/node/operations_tests.rs
+++ b/crates/core/src/node/operations_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how operations are sent again.
+//! Tests of retrying operations.
 
 use std::time::Duration;
 
@@ -17,28 +17,28 @@
 
 const NOW: Instant = Instant(1_000_000);
 
-/// Operations of a daemon that has asked the leader to accept a change of this size.
-struct Asked {
+/// A daemon that has submitted a configuration change to the leader.
+struct Submission {
     operations: Operations,
     leader: VmName,
     out: Outbox,
 }
 
-impl Asked {
-    fn with_change_of(bytes: usize) -> Asked {
+impl Submission {
+    fn with_size(bytes: usize) -> Submission {
         let delta = Bytes::from(vec![0; bytes]);
         let command = ConfigChange { version: 1, base: 0, hash: Bytes::new(), delta };
         let kind = OperationKind::Submit(Submit { command, ..Submit::default() });
         let leader: VmName = "leader".into();
-        let mut asked =
-            Asked { operations: Operations::numbered_from(1), leader, out: Outbox::default() };
-        let (operations, leader) = (&mut asked.operations, Some(&asked.leader));
-        operations.start(CallId(1), kind, SUBMIT_LIMIT, leader, NOW, &mut asked.out);
-        asked
+        let mut submission =
+            Submission { operations: Operations::numbered_from(1), leader, out: Outbox::default() };
+        let (operations, leader) = (&mut submission.operations, Some(&submission.leader));
+        operations.start(CallId(1), kind, SUBMIT_LIMIT, leader, NOW, &mut submission.out);
+        submission
     }
 
-    /// How often it was sent until then, with a tick every 50 ms.
-    fn sent_within(&mut self, time: Duration) -> usize {
+    /// Number of times it is sent within this time, with a tick every 50 ms.
+    fn sends_within(&mut self, time: Duration) -> usize {
         let steps = time.as_millis() / 50;
         for step in 1..=steps {
             let now = NOW.after(Duration::from_millis(50) * step as u32);
@@ -50,16 +50,16 @@
 }
 
 #[gtest]
-fn a_small_file_that_is_not_answered_is_sent_again_soon() {
-    let mut asked = Asked::with_change_of(1_000);
+fn small_file_is_retried_soon() {
+    let mut submission = Submission::with_size(1_000);
 
-    expect_that!(asked.sent_within(Duration::from_millis(800)), eq(2));
+    expect_that!(submission.sends_within(Duration::from_millis(800)), eq(2));
 }
 
 #[gtest]
-fn a_large_file_is_not_sent_again_while_it_may_be_on_its_way() {
-    let mut asked = Asked::with_change_of(645_000);
+fn large_file_is_retried_after_transfer_time() {
+    let mut submission = Submission::with_size(645_000);
 
-    expect_that!(asked.sent_within(Duration::from_millis(1_600)), eq(1));
-    expect_that!(asked.sent_within(Duration::from_millis(2_000)), eq(2));
+    expect_that!(submission.sends_within(Duration::from_millis(1_600)), eq(1));
+    expect_that!(submission.sends_within(Duration::from_millis(2_000)), eq(2));
 }
