--- a/crates/server/src/relay/admission.rs
+++ b/crates/server/src/relay/admission.rs
@@ -42,34 +42,34 @@
         body: Incoming,
     ) -> Result<Job, RefusedRequest> {
         let received_at = Instant::now();
-        let refused = |id: &str, error| RefusedRequest { id: id.to_owned(), error };
-        check_framing(&head).map_err(|e| refused("", e))?;
-        let caller = self.protocol.decode_request(&head).map_err(|e| refused("", e))?;
+        let refuse = |id: &str, error| RefusedRequest { id: id.to_owned(), error };
+        check_framing(&head).map_err(|e| refuse("", e))?;
+        let caller = self.protocol.decode_request(&head).map_err(|e| refuse("", e))?;
         let id = caller.id.clone();
         let limits = self.node.view().active_config().map(|f| f.config.limits.clone());
         let limits = limits.unwrap_or_default();
         // The body is read first, so that an early refusal leaves the connection usable.
         let body = read_whole(body, limits.max_body as usize, limits.idle_timeout)
             .await
-            .map_err(|e| refused(&id, read_error(&e)))?;
+            .map_err(|e| refuse(&id, read_error(&e)))?;
         let max_wait =
             caller.time_left.unwrap_or(self.options.config_recovery_timeout) / QUEUE_TIME_DIVISOR;
         let max_wait =
             if self.is_enabled(Mechanism::StartPatience) { max_wait } else { Duration::ZERO };
         let Some(config) = self.current_config(received_at + max_wait).await else {
             let message = "this daemon has no current configuration";
-            return Err(refused(&id, not_ready(message, NOT_READY_RETRY_AFTER)));
+            return Err(refuse(&id, not_ready(message, NOT_READY_RETRY_AFTER)));
         };
         let route = self.route(&config.config, &caller.host, head.uri.path());
-        let route = route.map_err(|e| refused(&id, e))?;
+        let route = route.map_err(|e| refuse(&id, e))?;
         let workspace = workspace(&config.config, &route, caller.key.as_deref());
-        let workspace = workspace.map_err(|e| refused(&id, e))?;
-        let spec = workspace.as_ref().and_then(|name| config.config.workspaces.get(name));
-        let tier = spec.map(|spec| spec.tier.as_str()).or(route.spec.tier.as_deref());
+        let workspace = workspace.map_err(|e| refuse(&id, e))?;
+        let workspace_spec = workspace.as_ref().and_then(|name| config.config.workspaces.get(name));
+        let tier = workspace_spec.map(|spec| spec.tier.as_str()).or(route.spec.tier.as_deref());
         let rank = tier_rank(&config.config, tier);
         let service = route.spec.pick(fastrand::u64(..)).to_owned();
-        let limit = caller.time_left.unwrap_or(route.spec.timeout).min(route.spec.timeout);
-        let deadline = received_at + limit;
+        let timeout = caller.time_left.unwrap_or(route.spec.timeout).min(route.spec.timeout);
+        let deadline = received_at + timeout;
         let job = Job {
             head,
             body,
@@ -84,24 +84,25 @@
             in_progress: None,
             digest: OnceCell::new(),
         };
-        self.check_not_stopping(&job).map_err(|e| refused(&id, e))?;
+        self.check_not_stopping(&job).map_err(|e| refuse(&id, e))?;
         Ok(job)
     }
 
     /// Refuses a generation on a stopping daemon if it is more likely to complete on another one.
     fn check_not_stopping(&self, job: &Job) -> Result<(), RequestError> {
         let view = self.node.view();
-        let Some(left) = view.time_to_end() else { return Ok(()) };
+        let Some(time_left) = view.time_to_end() else { return Ok(()) };
         if job.route.spec.kind != RouteKind::Generation {
             return Ok(());
         }
-        let whole = self.node.chance_to_end(&job.place_request(Vec::new(), false), left);
-        let elsewhere = view.chance_elsewhere();
-        if self.is_enabled(Mechanism::StopEstimate) && elsewhere <= whole {
+        let completes_here =
+            self.node.chance_to_end(&job.placement_request(Vec::new(), false), time_left);
+        let completes_elsewhere = view.chance_elsewhere();
+        if self.is_enabled(Mechanism::StopEstimate) && completes_elsewhere <= completes_here {
             log::info!(
                 event = EventId::TakenWhileStopping.number(), id = job.caller.id.as_str(),
-                left_ms = left.as_millis() as u64, chance_whole = whole,
-                chance_elsewhere = elsewhere;
+                left_ms = time_left.as_millis() as u64, chance_whole = completes_here,
+                chance_elsewhere = completes_elsewhere;
                 "a stopping daemon accepted a generation"
             );
             return Ok(());
@@ -122,10 +123,10 @@
     async fn current_config(&self, until: Instant) -> Option<Arc<ActiveConfig>> {
         loop {
             let current = self.node.view().active_config().filter(|_| self.is_config_current());
-            let Some(recovers) = self.track_staleness(current.is_some()) else {
+            let Some(recovery_deadline) = self.track_staleness(current.is_some()) else {
                 return current;
             };
-            if until.min(recovers) <= Instant::now() {
+            if until.min(recovery_deadline) <= Instant::now() {
                 return None;
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -194,21 +195,21 @@
 
 /// Rejects ambiguous framing, which enables request smuggling.
 fn check_framing(head: &request::Parts) -> Result<(), RequestError> {
-    let bad = |message: &str| Err(RequestError::new(ErrorKind::BadRequest, message));
+    let bad_request = |message: &str| Err(RequestError::new(ErrorKind::BadRequest, message));
     let lengths = head.headers.get_all(header::CONTENT_LENGTH).iter().count();
     let encodings: Vec<_> = head.headers.get_all(header::TRANSFER_ENCODING).iter().collect();
     if 0 < lengths && !encodings.is_empty() {
-        return bad("Content-Length and Transfer-Encoding are both present");
+        return bad_request("Content-Length and Transfer-Encoding are both present");
     }
     if 1 < lengths {
-        return bad("duplicate Content-Length header");
+        return bad_request("duplicate Content-Length header");
     }
     let chunked = |value: &http::HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"chunked");
     if 1 < encodings.len() || !encodings.iter().all(|value| chunked(value)) {
-        return bad("the only supported Transfer-Encoding is chunked");
+        return bad_request("the only supported Transfer-Encoding is chunked");
     }
     if head.headers.get_all(header::HOST).iter().count() != 1 {
-        return bad("exactly one Host header is required");
+        return bad_request("exactly one Host header is required");
     }
     Ok(())
 }
--- a/crates/server/src/relay/backoff.rs
+++ b/crates/server/src/relay/backoff.rs
@@ -14,7 +14,7 @@
 use crate::runtime::NodeHandle;
 
 /// How soon to recheck an endpoint with an unanswered probe request.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The admissible endpoints of a service.
 pub(super) struct AdmittedEndpoints {
@@ -50,8 +50,8 @@
     /// Whether an endpoint may be asked to copy KV caches. A leaving endpoint is asked even while
     /// it backs off, since its generations are lost otherwise.
     pub(super) fn may_request_copies(&self, endpoint: &Registered) -> bool {
-        let backs_off = matches!(self.node.admission(&endpoint.id), Admission::BackedOff(_));
-        !backs_off || !endpoint.open
+        let is_backed_off = matches!(self.node.admission(&endpoint.id), Admission::BackedOff(_));
+        !is_backed_off || !endpoint.open
     }
 
     fn current_run(&self, endpoint: &Registered) -> Option<Registered> {
@@ -63,7 +63,7 @@
     pub(super) async fn admitted_endpoints(
         &self,
         job: &Job,
-        which: AttemptKind,
+        kind: AttemptKind,
         tried: &[Arc<str>],
     ) -> Result<Vec<Registered>, RequestError> {
         loop {
@@ -71,11 +71,11 @@
             if open.is_empty() {
                 return Err(no_endpoint_error(self, &job.service));
             }
-            let admitted = self.admitted(open, which, tried);
+            let admitted = self.admitted(open, kind, tried);
             if !admitted.endpoints.is_empty() {
                 return Ok(admitted.endpoints);
             }
-            self.wait_for_admission(job, which, &admitted).await?;
+            self.wait_for_admission(job, kind, &admitted).await?;
         }
     }
 
@@ -83,12 +83,12 @@
     pub(super) fn admitted(
         &self,
         endpoints: Vec<Registered>,
-        which: AttemptKind,
+        kind: AttemptKind,
         tried: &[Arc<str>],
     ) -> AdmittedEndpoints {
         let (mut open, mut last_resort, mut next_open_at) = (Vec::new(), Vec::new(), None);
         for endpoint in endpoints {
-            if which == AttemptKind::Retry && tried.contains(&endpoint.id) {
+            if kind == AttemptKind::Retry && tried.contains(&endpoint.id) {
                 continue;
             }
             let opens_at = match self.node.admission(&endpoint.id) {
@@ -100,7 +100,7 @@
                     last_resort.push(endpoint);
                     continue;
                 }
-                Admission::Busy => self.node.now().after(LOOK_AGAIN),
+                Admission::Busy => self.node.now().after(RECHECK_INTERVAL),
                 Admission::BackedOff(until) => until,
             };
             next_open_at =
@@ -115,12 +115,12 @@
     async fn wait_for_admission(
         &self,
         job: &Job,
-        which: AttemptKind,
+        kind: AttemptKind,
         admitted: &AdmittedEndpoints,
     ) -> Result<(), RequestError> {
         let now = self.node.now();
         let wait = admitted.next_open_at.map_or(Duration::MAX, |at| at.since(now));
-        if which == AttemptKind::First && wait <= self.max_queue_time(job) {
+        if kind == AttemptKind::First && wait <= self.max_queue_time(job) {
             tokio::time::sleep(wait.max(Duration::from_millis(1))).await;
             return Ok(());
         }
@@ -141,18 +141,18 @@
 
     /// Tracks a call as unanswered if its endpoint has a back-off entry.
     pub(super) fn track_unanswered(&self, endpoint: &Arc<str>) -> Option<UnansweredGuard> {
-        let mut in_progress = None;
+        let mut marked_at = None;
         self.node.with_backoffs(|backoffs, now| {
             if backoffs.started_at(endpoint).is_some() {
                 backoffs.on_sent(endpoint, now);
-                in_progress = Some(now);
+                marked_at = Some(now);
             }
         });
-        let sent = in_progress?;
+        let sent_at = marked_at?;
         Some(UnansweredGuard {
             node: self.node.clone(),
             endpoint: endpoint.clone(),
-            sent,
+            sent_at,
             answered: false,
         })
     }
@@ -162,20 +162,21 @@
 pub(super) struct UnansweredGuard {
     node: NodeHandle,
     endpoint: Arc<str>,
-    sent: units::Instant,
+    sent_at: units::Instant,
     answered: bool,
 }
 
 impl UnansweredGuard {
     /// Marks the call as answered.
-    pub(super) fn answered(mut self) {
+    pub(super) fn mark_answered(mut self) {
         self.answered = true;
     }
 }
 
 impl Drop for UnansweredGuard {
     fn drop(&mut self) {
-        let UnansweredGuard { endpoint, sent, answered, .. } = self;
-        self.node.with_backoffs(|backoffs, now| backoffs.on_end(endpoint, *sent, *answered, now));
+        let UnansweredGuard { endpoint, sent_at, answered, .. } = self;
+        self.node
+            .with_backoffs(|backoffs, now| backoffs.on_end(endpoint, *sent_at, *answered, now));
     }
 }
--- a/crates/server/src/relay/call.rs
+++ b/crates/server/src/relay/call.rs
@@ -66,7 +66,7 @@
         Ok((head, body)) => {
             let cause = if head.status.is_success() { "answered" } else { "endpoint_failed" };
             job.log_end(&relay.metrics, cause, head.status.as_str());
-            relay.answer(&head, edge::full(body))
+            relay.build_response(&head, edge::full(body))
         }
         Err(error) => relay.fail(&job, &error),
     }
@@ -114,8 +114,8 @@
         loop {
             tokio::select! {
                 Some(end) = self.running.next() => {
-                    if let Some(answer) = self.on_attempt_end(end)? {
-                        return Ok(answer);
+                    if let Some(response) = self.on_attempt_end(end)? {
+                        return Ok(response);
                     }
                 }
                 () = hedge_timer.as_mut(), if !hedged => {
@@ -128,7 +128,9 @@
                         self.start_retry();
                     }
                 }
-                () = deadline.as_mut() => return Err(no_response_error(self.attempts, "the deadline has passed")),
+                () = deadline.as_mut() => {
+                    return Err(no_response_error(self.attempts, "the deadline has passed"))
+                }
             }
         }
     }
@@ -177,7 +179,7 @@
             return Ok(None);
         }
         match self.failed_response.take() {
-            Some(answer) => Ok(Some(answer)),
+            Some(response) => Ok(Some(response)),
             None => Err(no_response_error(self.attempts, &self.last_error)),
         }
     }
@@ -262,24 +264,24 @@
     if let Err(error) = relay.recheck_admission(job) {
         return AttemptEnd::Refused(error);
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     let context = relay.decision_context();
-    let own_running = relay.load_balancer.in_flight(&endpoint.id);
-    let running =
+    let in_flight = relay.load_balancer.in_flight(&endpoint.id);
+    let in_flight_guard =
         relay.load_balancer.start_request(&endpoint.id, relay.cold_start_policy(job).as_ref());
-    let unanswered = relay.track_unanswered(&endpoint.id);
+    let unanswered_guard = relay.track_unanswered(&endpoint.id);
     let guard = AttemptGuard::new(relay, job, &turn, &endpoint);
     let AttemptReport { end, outcome, signals } = send(relay, job, &turn, &endpoint).await;
     guard.complete();
-    drop(running);
-    if let (Some(unanswered), AttemptEnd::Response { .. }) = (unanswered, &end) {
-        unanswered.answered();
+    drop(in_flight_guard);
+    if let (Some(unanswered_guard), AttemptEnd::Response { .. }) = (unanswered_guard, &end) {
+        unanswered_guard.mark_answered();
     }
     if !matches!(end, AttemptEnd::Withheld(_)) {
         relay.load_balancer.record_outcome(&endpoint.id, outcome);
     }
     if outcome == Outcome::Success {
-        relay.record_latency(&job.service, began.elapsed());
+        relay.record_latency(&job.service, started_at.elapsed());
         relay.on_response_complete(job, &mut turn);
     }
     let (name, detail) = end.describe();
@@ -288,10 +290,10 @@
         event = EventId::AttemptEnded.number(), id = job.caller.id.as_str(),
         endpoint = &*endpoint.id, end = name, detail = detail.as_str(),
         config = context.config, config_age_ms = context.config_age_ms,
-        sequence = endpoint.sequence, own_running = own_running,
+        sequence = endpoint.sequence, own_running = in_flight,
         limit = signals.describe_limit().as_str(),
         backoff_ms = signals.describe_backoff().as_str(), leaving = signals.is_leaving(),
-        took_ms = began.elapsed().as_millis() as u64;
+        took_ms = started_at.elapsed().as_millis() as u64;
         "an attempt ended"
     );
     end
--- a/crates/server/src/relay/failed_attempt.rs
+++ b/crates/server/src/relay/failed_attempt.rs
@@ -27,7 +27,7 @@
 /// How long an endpoint that accepted the probe is watched: well beyond the time that a process
 /// takes to close all its sockets.
 const WATCH_DURATION: Duration = Duration::from_secs(2);
-/// Probes of one endpoint that may be closed by it during a watch. More mean that it closes idle
+/// Probe connections per watch. An endpoint that closes more of them is up and closes idle
 /// connections.
 const MAX_WATCH_PROBES: usize = 4;
 /// Endpoints watched at a time, with one connection each. Other crashes are detected by missing
@@ -44,18 +44,18 @@
         endpoint: &Registered,
         events: u64,
     ) {
-        let limit = self.options.connect_timeout;
-        let (after, connection) = probe(endpoint.address, limit).await;
-        self.metrics.broke_off(&job.service, outcome_name(after));
+        let connect_timeout = self.options.connect_timeout;
+        let (outcome, connection) = probe(endpoint.address, connect_timeout).await;
+        self.metrics.broke_off(&job.service, outcome_name(outcome));
         log::info!(
             event = EventId::EndedUnder.number(), id = job.caller.id.as_str(),
             request = job.digest(self).to_string().as_str(), endpoint = &*endpoint.id,
-            born = endpoint.born, events = events, end = outcome_name(after),
+            born = endpoint.born, events = events, end = outcome_name(outcome),
             trial = turn.trial.is_some();
             "an attempt failed before its response was complete"
         );
-        let broke_off = self.failed_attempt(job, turn, endpoint, after);
-        self.node.input(Input::FailedAttempt(broke_off.clone()));
+        let failed_attempt = self.failed_attempt(job, turn, endpoint, outcome);
+        self.node.input(Input::FailedAttempt(failed_attempt.clone()));
         let Some(connection) = connection else { return };
         let Ok(permit) = self.watch_permits.clone().try_acquire_owned() else { return };
         let watch = EndpointWatch {
@@ -63,8 +63,8 @@
             metrics: self.metrics.clone(),
             service: job.service.clone(),
             address: endpoint.address,
-            limit,
-            broke_off,
+            connect_timeout,
+            failed_attempt,
             _permit: permit,
         };
         tokio::task::spawn_local(watch.run(connection));
@@ -75,13 +75,13 @@
         job: &Job,
         turn: &QuarantineTurn,
         endpoint: &Registered,
-        after: ProbeOutcome,
+        outcome: ProbeOutcome,
     ) -> FailedAttempt {
         FailedAttempt {
             request: job.digest(self),
             endpoint: endpoint.id.clone(),
             started_at: Some(endpoint.born),
-            probe: after,
+            probe: outcome,
             trial: turn.trial.as_ref().map(|trial| trial.call()),
         }
     }
@@ -93,8 +93,8 @@
     metrics: Rc<Metrics>,
     service: String,
     address: SocketAddr,
-    limit: Duration,
-    broke_off: FailedAttempt,
+    connect_timeout: Duration,
+    failed_attempt: FailedAttempt,
     _permit: OwnedSemaphorePermit,
 }
 
@@ -106,7 +106,7 @@
             if timeout_at(until, wait_for_close(connection)).await.is_err() {
                 return;
             }
-            connection = match probe(self.address, self.limit).await {
+            connection = match probe(self.address, self.connect_timeout).await {
                 // The endpoint is up and closed only the probe connection.
                 (_, Some(next)) => next,
                 (ProbeOutcome::ConnectionRefused, None) => return self.report_ended(),
@@ -119,13 +119,14 @@
         self.metrics.broke_off(&self.service, "closed");
         log::info!(
             event = EventId::EndedUnder.number(),
-            request = self.broke_off.request.to_string().as_str(),
-            endpoint = &*self.broke_off.endpoint, end = "closed",
-            trial = self.broke_off.trial.is_some();
+            request = self.failed_attempt.request.to_string().as_str(),
+            endpoint = &*self.failed_attempt.endpoint, end = "closed",
+            trial = self.failed_attempt.trial.is_some();
             "an endpoint stopped accepting connections after a failed attempt"
         );
-        let broke_off = FailedAttempt { probe: ProbeOutcome::ConnectionRefused, ..self.broke_off };
-        self.node.input(Input::FailedAttempt(broke_off));
+        let failed_attempt =
+            FailedAttempt { probe: ProbeOutcome::ConnectionRefused, ..self.failed_attempt };
+        self.node.input(Input::FailedAttempt(failed_attempt));
     }
 }
 
@@ -165,14 +166,14 @@
     fn drop(&mut self) {
         if !self.is_complete {
             let AttemptGuard { relay, job, turn, endpoint, .. } = self;
-            let broke_off = relay.failed_attempt(job, turn, endpoint, ProbeOutcome::NoAnswer);
-            relay.node.input(Input::FailedAttempt(broke_off));
+            let failed_attempt = relay.failed_attempt(job, turn, endpoint, ProbeOutcome::NoAnswer);
+            relay.node.input(Input::FailedAttempt(failed_attempt));
         }
     }
 }
 
-fn outcome_name(after: ProbeOutcome) -> &'static str {
-    match after {
+fn outcome_name(outcome: ProbeOutcome) -> &'static str {
+    match outcome {
         ProbeOutcome::ConnectionRefused => "ended",
         ProbeOutcome::Connected => "alive",
         ProbeOutcome::NoAnswer => "silent",
@@ -180,8 +181,11 @@
 }
 
 /// Connects to an endpoint; returns the connection if it is accepted.
-async fn probe(address: SocketAddr, limit: Duration) -> (ProbeOutcome, Option<TcpStream>) {
-    match timeout(limit, socket::connect(address)).await {
+async fn probe(
+    address: SocketAddr,
+    connect_timeout: Duration,
+) -> (ProbeOutcome, Option<TcpStream>) {
+    match timeout(connect_timeout, socket::connect(address)).await {
         Ok(Ok(connection)) => (ProbeOutcome::Connected, Some(connection)),
         Ok(Err(_)) => (ProbeOutcome::ConnectionRefused, None),
         Err(_) => (ProbeOutcome::NoAnswer, None),
--- a/crates/server/src/relay/generation.rs
+++ b/crates/server/src/relay/generation.rs
@@ -65,14 +65,14 @@
             opened: Opened::Stream { head, event_stream, first },
         }) => {
             let (tx, rx) = mpsc::channel(MAX_BUFFERED_EVENTS);
-            let answer = relay.answer(&head, edge::streamed(rx));
+            let response = relay.build_response(&head, edge::streamed(rx));
             let forwarder = StreamForwarder::new(relay, job, placed, turn, event_stream, tx);
             tokio::task::spawn_local(forwarder.run(first));
-            answer
+            response
         }
         Ok(StartedGeneration { opened: Opened::Failed { head, body }, .. }) => {
             job.log_end(&relay.metrics, "endpoint_failed", head.status.as_str());
-            relay.answer(&head, edge::full(body))
+            relay.build_response(&head, edge::full(body))
         }
         Err(error) => relay.fail(&job, &error),
     }
@@ -158,7 +158,7 @@
 ) -> Result<(Placed, Option<String>), RequestError> {
     const POLL_INTERVAL: Duration = Duration::from_millis(20);
     loop {
-        let mut req = job.place_request(avoid.clone(), isolated);
+        let mut req = job.placement_request(avoid.clone(), isolated);
         if !relay.is_enabled(Mechanism::PlacePatience) {
             req.max_wait = Duration::ZERO;
         }
@@ -188,7 +188,7 @@
     endpoint: &Arc<str>,
     resume_from: &ResumeFrom,
 ) -> Result<Opened, OpenError> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let context = relay.decision_context();
     let mut signals = Signals::default();
     let opened = send(relay, job, turn, endpoint, resume_from, &mut signals).await;
@@ -198,7 +198,7 @@
         event = EventId::AttemptEnded.number(), id = job.caller.id.as_str(),
         endpoint = &**endpoint, end = name, detail = detail.as_str(),
         config = context.config, config_age_ms = context.config_age_ms,
-        after = resume_from.last_event_id.unwrap_or(0), took_ms = began.elapsed().as_millis() as u64,
+        after = resume_from.last_event_id.unwrap_or(0), took_ms = started_at.elapsed().as_millis() as u64,
         limit = signals.describe_limit().as_str(),
         backoff_ms = signals.describe_backoff().as_str(), leaving = signals.is_leaving();
         "an attempt ended"
--- a/crates/server/src/relay/job.rs
+++ b/crates/server/src/relay/job.rs
@@ -116,7 +116,11 @@
     }
 
     /// Builds the placement request for the scheduler.
-    pub(super) fn place_request(&self, avoid: Vec<Arc<str>>, isolated: bool) -> placement::Request {
+    pub(super) fn placement_request(
+        &self,
+        avoid: Vec<Arc<str>>,
+        isolated: bool,
+    ) -> placement::Request {
         let prompt = self.caller.prompt.clone().unwrap_or_default();
         let unlimited = u64::MAX / 2;
         let spec = &self.route.spec;
@@ -147,14 +151,14 @@
 
     /// Logs and counts the end of the request.
     pub(super) fn log_end(&self, metrics: &Metrics, cause: &str, detail: &str) {
-        let took = self.received_at.elapsed();
+        let elapsed = self.received_at.elapsed();
         let workspace = self.workspace.as_deref().unwrap_or("-");
-        metrics.request(workspace, &self.route.name, cause, took);
+        metrics.request(workspace, &self.route.name, cause, elapsed);
         log::info!(
             event = EventId::RequestEnded.number(), id = self.caller.id.as_str(),
             cause = cause, detail = detail, route = &*self.route.name,
             service = self.service.as_str(), workspace = workspace,
-            config = self.config.version, took_ms = took.as_millis() as u64;
+            config = self.config.version, took_ms = elapsed.as_millis() as u64;
             "a request ended"
         );
     }
--- a/crates/server/src/relay/load_balancer.rs
+++ b/crates/server/src/relay/load_balancer.rs
@@ -32,8 +32,8 @@
     failure_rate: f64,
     consecutive_failures: u32,
     ejected_until: Option<Instant>,
-    /// When the last ejection ends. The endpoint may have restarted, so it counts as cold from then
-    /// on.
+    /// When the last ejection ends. The endpoint may have restarted, so it counts as cold for some
+    /// time after this.
     retry_at: Option<Instant>,
     pacer: Option<ColdPacer>,
 }
@@ -178,8 +178,10 @@
         let same_hall = *endpoint.hall == *hall || !self.disabled.allows(Mechanism::NearCalls);
         let distance_cost = if same_hall { 0.0 } else { REMOTE_HALL_COST };
         let avoided = avoid.contains(&endpoint.id);
-        let rank = f64::from(u8::from(avoided)) * 2_000.0 + f64::from(u8::from(ejected)) * 1_000.0;
-        rank + f64::from(stats.in_flight)
+        let penalty =
+            f64::from(u8::from(avoided)) * 2_000.0 + f64::from(u8::from(ejected)) * 1_000.0;
+        penalty
+            + f64::from(stats.in_flight)
             + FAILURE_COST * failure_excess
             + distance_cost
             + 0.1 * fastrand::f64()
--- a/crates/server/src/relay/local_placement.rs
+++ b/crates/server/src/relay/local_placement.rs
@@ -102,9 +102,9 @@
 
 async fn reserve(relay: &Relay, job: &Job, endpoint: &Arc<str>, tokens: u64) -> ReservationReply {
     let service = job.config.config.services.get(&job.service);
-    let longest = service.and_then(|service| service.engine.as_ref()?.longest_reservation);
-    let Some(longest) = longest else { return ReservationReply::NotRequired };
-    let reservation = Reservation { tokens, ttl: RESERVATION_TTL.min(longest) };
+    let max_ttl = service.and_then(|service| service.engine.as_ref()?.longest_reservation);
+    let Some(max_ttl) = max_ttl else { return ReservationReply::NotRequired };
+    let reservation = Reservation { tokens, ttl: RESERVATION_TTL.min(max_ttl) };
     let req = relay.protocol.reservation_request(&reservation);
     match query_engine(relay, endpoint, req).await {
         Some((head, body)) => relay.protocol.decode_reservation(&head, &body),
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -107,7 +107,7 @@
     hall: Arc<str>,
     options: RelayOptions,
     load_balancer: LoadBalancer,
-    budgets: RefCell<HashMap<String, RetryBudget>>,
+    retry_budgets: RefCell<HashMap<String, RetryBudget>>,
     /// Call latency by service.
     latencies: RefCell<HashMap<String, LatencyEstimate>>,
     /// Until when, by service, no permit is requested at rate-limited endpoints while others are
@@ -137,7 +137,7 @@
             hall,
             options,
             load_balancer: LoadBalancer::new(options.disabled),
-            budgets: RefCell::default(),
+            retry_budgets: RefCell::default(),
             latencies: RefCell::default(),
             permit_denied_until: RefCell::default(),
             unconfirmed_since: Cell::new(Some(Instant::now())),
@@ -150,9 +150,9 @@
     /// Takes a retry from the budget of `service`, if one is left.
     fn try_acquire_retry(&self, service: &str) -> bool {
         let (now, daemons) = (self.node.now(), self.node.view().daemons());
-        let mut budgets = self.budgets.borrow_mut();
-        let retry_budget = budgets.entry(service.to_owned()).or_default();
-        retry_budget.try_acquire(&self.options, daemons, now)
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        let budget = retry_budgets.entry(service.to_owned()).or_default();
+        budget.try_acquire(&self.options, daemons, now)
     }
 
     fn decision_context(&self) -> DecisionContext {
@@ -172,9 +172,9 @@
     }
 
     /// Records the latency of an answered call.
-    fn record_latency(&self, service: &str, took: Duration) {
+    fn record_latency(&self, service: &str, latency: Duration) {
         let mut latencies = self.latencies.borrow_mut();
-        latencies.entry(service.to_owned()).or_default().record(took);
+        latencies.entry(service.to_owned()).or_default().record(latency);
     }
 
     /// How long a call may run before it is hedged; `None` while there are too few samples.
@@ -193,8 +193,8 @@
 
     fn record_request(&self, service: &str) {
         let now = self.node.now();
-        let mut budgets = self.budgets.borrow_mut();
-        budgets.entry(service.to_owned()).or_default().record_request(&self.options, now);
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        retry_budgets.entry(service.to_owned()).or_default().record_request(&self.options, now);
     }
 
     async fn serve(self: Rc<Self>, req: Request<Incoming>) -> Response<Body> {
@@ -215,11 +215,11 @@
     }
 
     /// Builds the caller's response from an endpoint's.
-    fn answer(&self, head: &response::Parts, body: Body) -> Response<Body> {
-        let mut answer = Response::new(body);
-        *answer.status_mut() = head.status;
-        *answer.headers_mut() = self.protocol.response_headers(head);
-        answer
+    fn build_response(&self, head: &response::Parts, body: Body) -> Response<Body> {
+        let mut res = Response::new(body);
+        *res.status_mut() = head.status;
+        *res.headers_mut() = self.protocol.response_headers(head);
+        res
     }
 
     /// Refuses a request that was not admitted.
@@ -239,9 +239,9 @@
 }
 
 /// The error when no endpoint responded; the outcome is unknown if any attempt may have run.
-fn no_response_error(starts: u32, problem: &str) -> RequestError {
-    let kind = if starts == 0 { ErrorKind::EndpointRefused } else { ErrorKind::OutcomeUnknown };
-    RequestError::new(kind, problem)
+fn no_response_error(attempts: u32, error: &str) -> RequestError {
+    let kind = if attempts == 0 { ErrorKind::EndpointRefused } else { ErrorKind::OutcomeUnknown };
+    RequestError::new(kind, error)
 }
 
 /// Counts a request as in progress until dropped.
--- a/crates/server/src/relay/quarantine_turn.rs
+++ b/crates/server/src/relay/quarantine_turn.rs
@@ -52,8 +52,8 @@
             return Err(quarantined());
         }
         let limit = MAX_TRIAL_WAIT.min(job.time_left() / QUEUE_TIME_DIVISOR);
-        let tried = self.node.try_suspect(job.digest(self), limit).await;
-        let (result, turn) = match tried {
+        let permission = self.node.try_suspect(job.digest(self), limit).await;
+        let (result, turn) = match permission {
             Tried::Granted(trial) => {
                 let result = if trial.is_apart() { "apart" } else { "granted" };
                 (result, Ok(QuarantineTurn { trial: Some(trial), standing }))
@@ -71,9 +71,9 @@
 
     /// Whether the request's standing has changed such that the turn is no longer valid.
     pub(super) fn is_turn_stale(&self, job: &Job, turn: &QuarantineTurn) -> bool {
-        let now = self.standing(job);
-        let is_changed = now.is_suspect() && now != turn.standing;
-        now.is_quarantined() || turn.trial.is_none() && is_changed
+        let current = self.standing(job);
+        let is_changed = current.is_suspect() && current != turn.standing;
+        current.is_quarantined() || turn.trial.is_none() && is_changed
     }
 
     /// Whether endpoints have crashed while they ran the request.
@@ -96,11 +96,11 @@
         self.node.standing(|| job.digest(self))
     }
 
-    fn log_trial(&self, job: &Job, standing: CrashCounts, answer: &str) {
-        self.metrics.trial(answer);
+    fn log_trial(&self, job: &Job, standing: CrashCounts, result: &str) {
+        self.metrics.trial(result);
         log::info!(
             event = EventId::TrialAsked.number(), id = job.caller.id.as_str(),
-            request = job.digest(self).to_string().as_str(), end = answer,
+            request = job.digest(self).to_string().as_str(), end = result,
             ended = standing.total, in_trials = standing.in_trials;
             "a turn was requested for a suspect request"
         );
--- a/crates/server/src/relay/rate_limit.rs
+++ b/crates/server/src/relay/rate_limit.rs
@@ -39,11 +39,11 @@
     ) {
         let limit = match signals.limit {
             Ok(limit) => limit,
-            Err(problem) => {
+            Err(error) => {
                 self.metrics.limit_read(service, "unreadable");
                 log::warn!(
                     event = EventId::LimitChanged.number(), endpoint = &*endpoint.id,
-                    end = "unreadable", detail = problem.to_string().as_str();
+                    end = "unreadable", detail = error.to_string().as_str();
                     "an endpoint reported an invalid rate limit"
                 );
                 return;
@@ -53,14 +53,14 @@
             self.metrics.limit_read(service, "named");
         }
         if limit.is_some() || self.node.limit(&endpoint.id).is_some() {
-            let word = RateLimitReport {
+            let report = RateLimitReport {
                 endpoint: endpoint.id.clone(),
                 born: endpoint.born,
                 limit,
                 asked: sent_at,
                 read: self.node.now(),
             };
-            self.node.input(Input::RateLimitReported(word));
+            self.node.input(Input::RateLimitReported(report));
         }
     }
 
@@ -77,36 +77,36 @@
     pub(super) async fn select_endpoint(
         &self,
         job: &Job,
-        which: AttemptKind,
+        kind: AttemptKind,
         tried: &[Arc<str>],
     ) -> Result<Registered, RequestError> {
-        let open = self.admitted_endpoints(job, which, tried).await?;
-        let Some(best) = self.load_balancer.select(&open, tried, &self.hall) else {
+        let open = self.admitted_endpoints(job, kind, tried).await?;
+        let Some(cheapest) = self.load_balancer.select(&open, tried, &self.hall) else {
             return Err(no_endpoint_error(self, &job.service));
         };
-        if self.node.limit(&best.id).is_none() {
-            return Ok(best);
+        if self.node.limit(&cheapest.id).is_none() {
+            return Ok(cheapest);
         }
-        let (mut limited, free): (Vec<_>, Vec<_>) =
+        let (mut limited, unlimited): (Vec<_>, Vec<_>) =
             open.into_iter().partition(|endpoint| self.node.limit(&endpoint.id).is_some());
         self.load_balancer.sort_by_cost(&mut limited, &self.hall);
-        let max_wait = match which {
-            AttemptKind::First if free.is_empty() => self.max_queue_time(job),
+        let max_wait = match kind {
+            AttemptKind::First if unlimited.is_empty() => self.max_queue_time(job),
             AttemptKind::First | AttemptKind::Retry => Duration::ZERO,
         };
-        let began = Instant::now();
-        let permit = self.request_permit(job, &limited, max_wait, free.is_empty()).await;
-        let (end, chosen) = match permit {
+        let started_at = Instant::now();
+        let permit = self.request_permit(job, &limited, max_wait, unlimited.is_empty()).await;
+        let (end, selected) = match permit {
             Permit::Granted(endpoint) => ("granted", self.granted_endpoint(job, &endpoint)),
             Permit::Denied { retry_after } => {
-                match self.load_balancer.select(&free, tried, &self.hall) {
+                match self.load_balancer.select(&unlimited, tried, &self.hall) {
                     Some(endpoint) => ("elsewhere", Ok(endpoint)),
                     None => ("refused", Err(rate_limited_error(&job.service, retry_after))),
                 }
             }
         };
-        self.log_permit(job, &best, end, began.elapsed());
-        chosen
+        self.log_permit(job, &cheapest, end, started_at.elapsed());
+        selected
     }
 
     /// Requests a permit at one of the `limited` endpoints.
@@ -140,9 +140,9 @@
 
     /// How long a call may queue and still meet its target latency.
     pub(super) fn max_queue_time(&self, job: &Job) -> Duration {
-        let taken = job.received_at.elapsed() + self.mean_latency(&job.service);
-        let in_time = job.route.spec.target_latency.saturating_sub(taken);
-        in_time.min(job.time_left() / QUEUE_TIME_DIVISOR)
+        let elapsed = job.received_at.elapsed() + self.mean_latency(&job.service);
+        let within_target = job.route.spec.target_latency.saturating_sub(elapsed);
+        within_target.min(job.time_left() / QUEUE_TIME_DIVISOR)
     }
 
     fn log_permit(&self, job: &Job, endpoint: &Registered, end: &str, took: Duration) {
--- a/crates/server/src/relay/relocation.rs
+++ b/crates/server/src/relay/relocation.rs
@@ -108,7 +108,7 @@
 ) -> RelocationResult {
     let source = from.address;
     let command = |last| CopyCommand { id: &job.caller.id, to: to.address, is_final: last };
-    let first = match send_copy_command(&relay, &job.service, &from, &command(false)).await {
+    let first_copy = match send_copy_command(&relay, &job.service, &from, &command(false)).await {
         Ok(CopyReply::Done { handle, .. }) => KvCopy { source, handle },
         Ok(CopyReply::NotRunning) => return RelocationResult::NotRunning,
         Ok(CopyReply::Busy) => return RelocationResult::Failed("another copy is active".into()),
@@ -117,7 +117,7 @@
         Err(error) => return RelocationResult::Failed(error),
     };
     if progress.cancelled.get() {
-        free_copy(&relay, &first).await;
+        free_copy(&relay, &first_copy).await;
         return RelocationResult::NotRunning;
     }
     progress.stopping.set(true);
@@ -154,7 +154,7 @@
     from: &Registered,
     command: &CopyCommand<'_>,
 ) -> Result<CopyReply, String> {
-    let ask = async {
+    let reply = async {
         let sent_at = relay.node.now();
         let req = relay.protocol.copy_request(command);
         let open = exchange(from.address, req, relay.options.connect_timeout).await;
@@ -164,5 +164,5 @@
         let body = open.body.collect(MAX_REPLY_BYTES).await?;
         Ok(relay.protocol.decode_copy_reply(&head, &body))
     };
-    timeout(relay.options.copy_timeout, ask).await.map_err(|_| "the copy timed out".to_owned())?
+    timeout(relay.options.copy_timeout, reply).await.map_err(|_| "the copy timed out".to_owned())?
 }
--- a/crates/server/src/relay/signals.rs
+++ b/crates/server/src/relay/signals.rs
@@ -22,7 +22,7 @@
         sent_at: units::Instant,
         head: &response::Parts,
     ) -> Signals {
-        let signals = self.read_signals(service, endpoint, head);
+        let signals = self.decode_signals(service, endpoint, head);
         self.report_rate_limit(service, endpoint, sent_at, &signals);
         self.report_state(endpoint, &signals);
         signals
@@ -38,7 +38,7 @@
         sent_at: units::Instant,
         head: &response::Parts,
     ) {
-        let signals = self.read_signals(service, endpoint, head);
+        let signals = self.decode_signals(service, endpoint, head);
         if signals.limit != Ok(None) {
             self.report_rate_limit(service, endpoint, sent_at, &signals);
         }
@@ -90,32 +90,37 @@
     }
 
     /// Decodes the signals of a response. An invalid signal is logged and ignored.
-    fn read_signals(
+    fn decode_signals(
         &self,
         service: &str,
         endpoint: &Registered,
         head: &response::Parts,
     ) -> Signals {
         let signals = self.protocol.signals(head);
-        let read = |name: &str, is_given: Result<bool, &dyn fmt::Display>| match is_given {
+        let record_signal = |name: &str, presence: Result<bool, &dyn fmt::Display>| match presence {
             Ok(false) => {}
             Ok(true) => self.metrics.signal_read(service, name, "read"),
-            Err(problem) => {
+            Err(error) => {
                 self.metrics.signal_read(service, name, "unreadable");
                 log::warn!(
                     event = EventId::SignalUnreadable.number(), endpoint = &*endpoint.id,
-                    signal = name, detail = problem.to_string().as_str();
+                    signal = name, detail = error.to_string().as_str();
                     "an endpoint sent an invalid signal"
                 );
             }
         };
-        read("backoff", given(&signals.retry_after));
-        read("leaving", signals.leaving.as_ref().copied().map_err(|e| e as &dyn fmt::Display));
-        read("cold", given(&signals.cold_for));
+        record_signal("backoff", is_present(&signals.retry_after));
+        record_signal(
+            "leaving",
+            signals.leaving.as_ref().copied().map_err(|e| e as &dyn fmt::Display),
+        );
+        record_signal("cold", is_present(&signals.cold_for));
         signals
     }
 }
 
-fn given<T, E: fmt::Display>(signal: &Result<Option<T>, E>) -> Result<bool, &dyn fmt::Display> {
+fn is_present<T, E: fmt::Display>(
+    signal: &Result<Option<T>, E>,
+) -> Result<bool, &dyn fmt::Display> {
     signal.as_ref().map(Option::is_some).map_err(|e| e as &dyn fmt::Display)
 }
--- a/crates/server/src/relay/stream/mod.rs
+++ b/crates/server/src/relay/stream/mod.rs
@@ -30,6 +30,7 @@
 const PROGRESS_INTERVAL_EVENTS: u64 = 8;
 /// Estimate for engines that do not report token counts.
 const TOKENS_PER_EVENT: u64 = 4;
+
 /// Why a stream ended.
 enum EndReason {
     Completed,
@@ -95,14 +96,14 @@
         let route = self.job.route.name.clone();
         self.relay.metrics.first_event(&route, self.job.received_at.elapsed());
         let caller = self.tx.clone();
-        let cause = tokio::select! {
+        let reason = tokio::select! {
             biased;
             // Polled first, so that a disconnect is noticed in any state.
             () = caller.closed() => EndReason::CallerDisconnected,
-            cause = self.forward(first) => cause,
+            reason = self.forward(first) => reason,
         };
         self.release_copies();
-        let (name, detail) = match cause {
+        let (name, detail) = match reason {
             EndReason::Completed => {
                 self.placed.finish(self.estimated_tokens());
                 self.relay.on_response_complete(&self.job, &mut self.turn);
@@ -134,29 +135,31 @@
     /// Forwards events and handles relocations until the generation ends.
     async fn forward(&mut self, first: Option<Event>) -> EndReason {
         let Some(first) = first else { return EndReason::Completed };
-        if let Err(cause) = self.forward_event(first).await {
-            return cause;
+        if let Err(reason) = self.forward_event(first).await {
+            return reason;
         }
         loop {
             let deadline = sleep_until(self.job.deadline);
             let result = tokio::select! {
                 biased;
-                step = self.event_stream.next() => self.handle_item(step).await,
+                item = self.event_stream.next() => self.handle_item(item).await,
                 Some(order) = self.orders.recv(), if self.relocation.is_none() => {
                     self.start_relocation(&order);
                     Ok(())
                 }
-                result = next_relocation_result(&mut self.relocation) => self.on_relocation_result(result).await,
+                result = next_relocation_result(&mut self.relocation) => {
+                    self.on_relocation_result(result).await
+                }
                 () = deadline => Err(EndReason::DeadlineExceeded),
             };
-            if let Err(cause) = result {
-                return cause;
+            if let Err(reason) = result {
+                return reason;
             }
         }
     }
 
-    async fn handle_item(&mut self, step: StreamItem) -> Result<(), EndReason> {
-        match step {
+    async fn handle_item(&mut self, item: StreamItem) -> Result<(), EndReason> {
+        match item {
             StreamItem::Event(event) => self.forward_event(event).await,
             StreamItem::End if self.is_stopping() => {
                 self.on_stream_closed_during_relocation(true).await
--- a/crates/server/src/relay/stream/relocation.rs
+++ b/crates/server/src/relay/stream/relocation.rs
@@ -101,11 +101,11 @@
         self.unclaimed_copy = Some(kv_copy.clone());
         // Reported before resuming, so that the next copy can start on the link.
         self.placed.moved(to, to != from);
-        let went_on = match self.drain_stopped().await {
+        let resume_result = match self.drain_stopped().await {
             Ok(()) => self.resume_from_copy(kv_copy, from, to).await,
-            Err(cause) => Err(cause),
+            Err(reason) => Err(reason),
         };
-        let result = match went_on {
+        let result = match resume_result {
             Ok(()) => "moved",
             Err(EndReason::CallerDisconnected) => "caller_left",
             Err(_) => "lost",
@@ -117,7 +117,7 @@
             "a generation was relocated"
         );
         self.relay.metrics.moved(result);
-        went_on
+        resume_result
     }
 
     /// Forwards the events that the stopped generation has already sent.
