--- a/crates/server/src/relay/quarantine_turn.rs
+++ b/crates/server/src/relay/quarantine_turn.rs
@@ -13,12 +13,12 @@
     telemetry::EventId,
 };
 
-/// TrialDecision to send one attempt.
+/// Permission to send one attempt.
 pub(super) struct QuarantineTurn {
     /// The trial to run as, if the request is suspect.
     pub(super) trial: Option<Trial>,
-    /// The request's standing when the turn was granted.
-    standing: CrashCounts,
+    /// The request's crash counts when the turn was granted.
+    crash_counts: CrashCounts,
 }
 
 impl QuarantineTurn {
@@ -29,7 +29,7 @@
 
     /// The turn of a request that is not suspect, or whose previous turn is over.
     pub(super) fn none() -> QuarantineTurn {
-        QuarantineTurn { trial: None, standing: CrashCounts::default() }
+        QuarantineTurn { trial: None, crash_counts: CrashCounts::default() }
     }
 
     /// Marks the trial as having begun to respond.
@@ -43,12 +43,12 @@
 impl Relay {
     /// Grants a turn to a request; a suspect one waits for the leader's permission.
     pub(super) async fn quarantine_turn(&self, job: &Job) -> Result<QuarantineTurn, RequestError> {
-        let standing = self.standing(job);
-        if !standing.is_suspect() {
+        let crash_counts = self.crash_counts(job);
+        if !crash_counts.is_suspect() {
             return Ok(QuarantineTurn::none());
         }
-        if standing.is_quarantined() {
-            self.log_trial(job, standing, "quarantined");
+        if crash_counts.is_quarantined() {
+            self.log_trial(job, crash_counts, "quarantined");
             return Err(quarantined());
         }
         let limit = MAX_TRIAL_WAIT.min(job.time_left() / QUEUE_TIME_DIVISOR);
@@ -56,29 +56,31 @@
         let (result, turn) = match permission {
             Tried::Granted(trial) => {
                 let result = if trial.is_apart() { "apart" } else { "granted" };
-                (result, Ok(QuarantineTurn { trial: Some(trial), standing }))
+                (result, Ok(QuarantineTurn { trial: Some(trial), crash_counts }))
             }
             Tried::Clear => ("clear", Ok(QuarantineTurn::none())),
             Tried::Quarantined => ("quarantined", Err(quarantined())),
-            Tried::NotNow if standing.needs_isolation() => ("not_now", Err(trial_wait_expired())),
+            Tried::NotNow if crash_counts.needs_isolation() => {
+                ("not_now", Err(trial_wait_expired()))
+            }
             // Most suspects are innocent bystanders of a crash, so they may run unsupervised
             // without a leader.
-            Tried::NotNow => ("unwatched", Ok(QuarantineTurn { trial: None, standing })),
+            Tried::NotNow => ("unwatched", Ok(QuarantineTurn { trial: None, crash_counts })),
         };
-        self.log_trial(job, standing, result);
+        self.log_trial(job, crash_counts, result);
         turn
     }
 
-    /// Whether the request's standing has changed such that the turn is no longer valid.
+    /// Whether the request's crash counts have changed such that the turn is no longer valid.
     pub(super) fn is_turn_stale(&self, job: &Job, turn: &QuarantineTurn) -> bool {
-        let current = self.standing(job);
-        let is_changed = current.is_suspect() && current != turn.standing;
+        let current = self.crash_counts(job);
+        let is_changed = current.is_suspect() && current != turn.crash_counts;
         current.is_quarantined() || turn.trial.is_none() && is_changed
     }
 
     /// Whether endpoints have crashed while they ran the request.
     pub(super) fn is_suspect(&self, job: &Job) -> bool {
-        self.standing(job).is_suspect()
+        self.crash_counts(job).is_suspect()
     }
 
     /// Clears a suspect request whose response is complete.
@@ -92,16 +94,16 @@
         }
     }
 
-    fn standing(&self, job: &Job) -> CrashCounts {
+    fn crash_counts(&self, job: &Job) -> CrashCounts {
         self.node.standing(|| job.digest(self))
     }
 
-    fn log_trial(&self, job: &Job, standing: CrashCounts, result: &str) {
+    fn log_trial(&self, job: &Job, crash_counts: CrashCounts, result: &str) {
         self.metrics.trial(result);
         log::info!(
             event = EventId::TrialAsked.number(), id = job.caller.id.as_str(),
             request = job.digest(self).to_string().as_str(), end = result,
-            ended = standing.total, in_trials = standing.in_trials;
+            ended = crash_counts.total, in_trials = crash_counts.in_trials;
             "a turn was requested for a suspect request"
         );
     }
