--- a/crates/core/src/node/config_store.rs
+++ b/crates/core/src/node/config_store.rs
@@ -133,7 +133,7 @@
     }
 
     /// Handles the leader's announcement of an accepted version. Returns whether it was activated.
-    pub(super) fn update(
+    pub(super) fn on_update(
         &mut self,
         update: Update,
         sources: &ConfigSources,
@@ -162,7 +162,7 @@
 
     /// Adds a piece to the current fetch, even if it comes from an earlier source. Returns whether a
     /// configuration was activated.
-    pub(super) fn piece(
+    pub(super) fn on_piece(
         &mut self,
         piece: Piece,
         sources: &ConfigSources,
--- a/crates/core/src/node/control/mod.rs
+++ b/crates/core/src/node/control/mod.rs
@@ -207,7 +207,7 @@
     }
 
     /// Handles the sync of the write with this number; see [`Output::Persist`](super::Output::Persist).
-    pub(crate) fn persisted(&mut self, number: u64, clocks: Clocks, out: &mut Outbox) {
+    pub(crate) fn on_persisted(&mut self, number: u64, clocks: Clocks, out: &mut Outbox) {
         if number != self.last_write {
             return;
         }
@@ -216,7 +216,13 @@
         self.process_ready(clocks, out);
     }
 
-    pub(crate) fn message(&mut self, from: &VmName, body: Body, clocks: Clocks, out: &mut Outbox) {
+    pub(crate) fn on_message(
+        &mut self,
+        from: &VmName,
+        body: Body,
+        clocks: Clocks,
+        out: &mut Outbox,
+    ) {
         match body {
             Body::Agreement(message) => {
                 self.replica.receive(message, clocks.now);
--- a/crates/core/src/node/control/ready.rs
+++ b/crates/core/src/node/control/ready.rs
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Starts the scheduler when this replica becomes leader and fails pending requests when it steps
-    /// down.
+    /// Starts the scheduler when this replica becomes leader; stops it and rejects pending operations
+    /// when it steps down.
     fn update_leadership(&mut self, now: Instant, out: &mut Outbox) {
         let leads = self.replica.is_established();
         if leads == self.dispatcher.is_some() {
--- a/crates/core/src/node/control_client/mod.rs
+++ b/crates/core/src/node/control_client/mod.rs
@@ -57,7 +57,7 @@
 struct ConfirmedVersion {
     current: VersionHash,
     /// When the poll was sent.
-    asked: Instant,
+    poll_sent_at: Instant,
 }
 
 /// A daemon's client of the control replicas.
@@ -213,9 +213,9 @@
 
     fn answer_reads(&mut self, now: Instant, out: &mut Outbox) {
         let config =
-            Confirmed { what: self.config_store.active_config(), as_of: self.confirmed_at };
-        let halls_as_of = self.last_confirmation.map(|confirmation| confirmation.asked);
-        let halls = Confirmed { what: &self.halls_out, as_of: halls_as_of };
+            Confirmed { value: self.config_store.active_config(), as_of: self.confirmed_at };
+        let halls_as_of = self.last_confirmation.map(|confirmation| confirmation.poll_sent_at);
+        let halls = Confirmed { value: &self.halls_out, as_of: halls_as_of };
         self.reads.answer(config, halls, now, out);
     }
 
@@ -254,7 +254,7 @@
         }
     }
 
-    pub(crate) fn not_leader(&mut self, from: &VmName, leader: Option<&str>, now: Instant) {
+    pub(crate) fn on_not_leader(&mut self, from: &VmName, leader: Option<&str>, now: Instant) {
         if self.leader().is_some_and(|known| known == from) {
             self.set_leader(None);
         }
@@ -267,7 +267,7 @@
         }
     }
 
-    pub(crate) fn poll_reply(
+    pub(crate) fn on_poll_reply(
         &mut self,
         from: &VmName,
         reply: PollReply,
@@ -287,7 +287,7 @@
         self.set_leader(Some(leader));
         let hash = ContentHash::from_slice(&reply.hash).unwrap_or_default();
         let current = VersionHash { version: reply.version, hash };
-        self.last_confirmation = Some(ConfirmedVersion { current, asked: sent });
+        self.last_confirmation = Some(ConfirmedVersion { current, poll_sent_at: sent });
         self.update_halls_out(&reply.halls.unwrap_or_default(), out);
         self.config_store.on_version_confirmed(current.version);
         self.config_store.fetch_if_missing(&self.sources, now, out);
@@ -295,15 +295,21 @@
     }
 
     /// Handles the leader's announcement of an accepted version.
-    pub(crate) fn update(&mut self, from: &VmName, update: Update, now: Instant, out: &mut Outbox) {
-        if self.config_store.update(update, &self.sources, now, out) {
+    pub(crate) fn on_update(
+        &mut self,
+        from: &VmName,
+        update: Update,
+        now: Instant,
+        out: &mut Outbox,
+    ) {
+        if self.config_store.on_update(update, &self.sources, now, out) {
             self.on_config_activated(Some(from), now, out);
         }
     }
 
     /// Handles a piece of the change being fetched.
-    pub(crate) fn piece(&mut self, piece: Piece, now: Instant, out: &mut Outbox) {
-        if self.config_store.piece(piece, &self.sources, now, out) {
+    pub(crate) fn on_piece(&mut self, piece: Piece, now: Instant, out: &mut Outbox) {
+        if self.config_store.on_piece(piece, &self.sources, now, out) {
             self.on_config_activated(None, now, out);
         }
     }
@@ -330,14 +336,15 @@
         self.update_confirmation(now, out);
     }
 
-    /// Counts the leader's last confirmation for the active configuration if the versions match.
+    /// Marks the active configuration as confirmed if it matches the leader's last reply.
     fn update_confirmation(&mut self, now: Instant, out: &mut Outbox) {
         let active = self.config_store.version_hash();
-        if let Some(ConfirmedVersion { current, asked }) = self.last_confirmation
+        if let Some(ConfirmedVersion { current, poll_sent_at }) = self.last_confirmation
             && active == current
             && 0 < current.version
         {
-            self.confirmed_at = Some(self.confirmed_at.map_or(asked, |at| at.max(asked)));
+            self.confirmed_at =
+                Some(self.confirmed_at.map_or(poll_sent_at, |at| at.max(poll_sent_at)));
         }
         self.answer_reads(now, out);
         self.update_freshness(now, out);
--- a/crates/core/src/node/control_client/polls.rs
+++ b/crates/core/src/node/control_client/polls.rs
@@ -42,9 +42,9 @@
         now: Instant,
         out: &mut Outbox,
     ) {
-        let has_new = self.suspects_state != state;
+        let has_changed = self.suspects_state != state;
         self.suspects_state = state;
-        if let (true, true, Some(leader)) = (has_new, has_more, self.leader().cloned()) {
+        if let (true, true, Some(leader)) = (has_changed, has_more, self.leader().cloned()) {
             self.send_poll(leader, now, out);
         }
     }
@@ -59,9 +59,9 @@
 
     /// Sends a poll with this daemon's state; the reply contains what it lacks.
     pub(super) fn send_poll(&mut self, to: VmName, now: Instant, out: &mut Outbox) {
-        const MAX_POLLS: usize = 16;
+        const MAX_PENDING_POLLS: usize = 16;
         self.nonce = self.nonce.wrapping_add(1);
-        if MAX_POLLS <= self.polls.len() {
+        if MAX_PENDING_POLLS <= self.polls.len() {
             self.polls.remove(0);
         }
         self.polls.push(SentPoll { nonce: self.nonce, at: now });
--- a/crates/core/src/node/inputs.rs
+++ b/crates/core/src/node/inputs.rs
@@ -26,7 +26,7 @@
             Input::Message(from, body) => self.on_message(&from, body, clocks),
             Input::Persisted(number) => {
                 if let Some(control) = &mut self.control {
-                    control.persisted(number, clocks, out);
+                    control.on_persisted(number, clocks, out);
                 }
             }
             Input::Call(call, request) => self.on_call(call, request, clocks),
@@ -163,16 +163,16 @@
                 self.on_rate_limits(reply.limits.clone(), clocks);
                 let out = &mut self.outputs;
                 let news = reply.suspects.clone();
-                self.client.poll_reply(from, reply, clocks.now, out);
+                self.client.on_poll_reply(from, reply, clocks.now, out);
                 if let Some(news) = news {
                     self.on_suspect_news(&news, clocks.now);
                 }
             }
-            Body::Update(update) => self.client.update(from, update, clocks.now, out),
+            Body::Update(update) => self.client.on_update(from, update, clocks.now, out),
             Body::HallsOut(halls) => self.client.update_halls_out(&halls, out),
-            Body::Piece(piece) => self.client.piece(piece, clocks.now, out),
+            Body::Piece(piece) => self.client.on_piece(piece, clocks.now, out),
             Body::NotLeader(reply) => {
-                self.client.not_leader(from, reply.leader.as_deref(), clocks.now);
+                self.client.on_not_leader(from, reply.leader.as_deref(), clocks.now);
                 if let Some(operation) = reply.operation {
                     self.operations.retry_at_next_tick(operation);
                 }
@@ -193,7 +193,7 @@
                     Some(OperationResult::Suspects(recorded)) => Some((reply.id, recorded)),
                     _ => None,
                 };
-                self.operations.reply(reply, out);
+                self.operations.on_reply(reply, out);
                 if let Some((operation, recorded)) = recorded {
                     let (suspects, cx, out) = self.suspects_context(clocks);
                     suspects.on_crash_recorded(operation, recorded, &cx, out);
@@ -217,12 +217,12 @@
                 let (endpoint, news) = (health.endpoint.as_str().into(), health.news());
                 self.placement.on_health(&endpoint, news, clocks.now, false, out);
                 if let (true, Some(control)) = (leads, &mut self.control) {
-                    control.message(from, Body::Health(health), clocks, out);
+                    control.on_message(from, Body::Health(health), clocks, out);
                 }
             }
             body => {
                 if let Some(control) = &mut self.control {
-                    control.message(from, body, clocks, out);
+                    control.on_message(from, body, clocks, out);
                 }
             }
         }
--- a/crates/core/src/node/operations.rs
+++ b/crates/core/src/node/operations.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    pub(crate) fn reply(&mut self, reply: OperationReply, out: &mut Outbox) {
+    pub(crate) fn on_reply(&mut self, reply: OperationReply, out: &mut Outbox) {
         let Some(result) = reply.result else { return };
         let Some(pending) = self.pending.remove(&reply.id) else { return };
         let Some(call) = pending.call else { return };
--- a/crates/core/src/node/reads.rs
+++ b/crates/core/src/node/reads.rs
@@ -17,15 +17,15 @@
 #[derive(Debug, Clone, Copy)]
 struct Read {
     call: CallId,
-    wanted: ReadTarget,
-    asked: Instant,
+    target: ReadTarget,
+    started_at: Instant,
     deadline: Instant,
 }
 
 /// A value and the time at which it was last confirmed to be current.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Confirmed<T> {
-    pub(super) what: T,
+    pub(super) value: T,
     pub(super) as_of: Option<Instant>,
 }
 
@@ -40,11 +40,11 @@
     pub(super) fn add(
         &mut self,
         call: CallId,
-        wanted: ReadTarget,
+        target: ReadTarget,
         deadline: Instant,
         now: Instant,
     ) {
-        self.waiting.push(Read { call, wanted, asked: now, deadline });
+        self.waiting.push(Read { call, target, started_at: now, deadline });
     }
 
     /// Earliest deadline of the waiting reads.
@@ -61,23 +61,23 @@
         out: &mut Outbox,
     ) {
         self.waiting.retain(|read| {
-            let as_of = match read.wanted {
+            let as_of = match read.target {
                 ReadTarget::Configuration => config.as_of,
                 ReadTarget::HallsOut => halls.as_of,
             };
-            let is_confirmed = as_of.is_some_and(|at| read.asked <= at);
+            let is_confirmed = as_of.is_some_and(|at| read.started_at <= at);
             if !is_confirmed && now < read.deadline {
                 return true;
             }
-            let answer = match read.wanted {
+            let reply = match read.target {
                 ReadTarget::Configuration => {
-                    NodeReply::Config(config.what.filter(|_| is_confirmed).cloned())
+                    NodeReply::Config(config.value.filter(|_| is_confirmed).cloned())
                 }
                 ReadTarget::HallsOut => {
-                    NodeReply::HallsOut(is_confirmed.then(|| halls.what.clone()))
+                    NodeReply::HallsOut(is_confirmed.then(|| halls.value.clone()))
                 }
             };
-            out.reply(read.call, answer);
+            out.reply(read.call, reply);
             false
         });
     }
