--- a/crates/core/src/node/endpoint_sync_tests.rs
+++ b/crates/core/src/node/endpoint_sync_tests.rs
@@ -155,7 +155,7 @@
 }
 
 #[gtest]
-fn an_entry_learns_what_a_control_vm_that_has_started_again_knew() {
+fn entry_fetches_restored_endpoints() {
     let mut links = Links::new(&[vec![1]]);
 
     links.link(1);
@@ -165,7 +165,7 @@
 }
 
 #[gtest]
-fn an_entry_is_sent_each_endpoint_once_however_many_control_vms_know_it() {
+fn entry_fetches_each_endpoint_once() {
     let all: Vec<usize> = (0..500).collect();
     let mut links = Links::new(&[all.clone(), all.clone(), all.clone()]);
 
@@ -179,7 +179,7 @@
 }
 
 #[gtest]
-fn an_entry_that_knows_all_is_sent_nothing_when_it_is_linked_again() {
+fn relinked_entry_fetches_nothing_known() {
     let mut links = Links::new(&[(0..500).collect()]);
     links.link(1);
     links.pass(200);
@@ -193,7 +193,7 @@
 }
 
 #[gtest]
-fn a_control_vm_that_sends_nothing_is_left_for_another() {
+fn silent_control_vm_is_skipped() {
     let all: Vec<usize> = (0..100).collect();
     for silent in 1..=2 {
         let mut links = Links::new(&[all.clone(), all.clone()]);
@@ -207,7 +207,7 @@
 }
 
 #[gtest]
-fn the_leader_is_told_of_what_only_another_control_vm_knew() {
+fn leader_receives_endpoints_it_lacks() {
     let mut links = Links::new(&[vec![1, 2], vec![1, 2, 7]]);
     links.link(1);
     links.link(2);
@@ -220,7 +220,7 @@
 }
 
 #[gtest]
-fn the_leader_is_told_nothing_that_it_knows() {
+fn leader_receives_nothing_it_knows() {
     let all: Vec<usize> = (0..500).collect();
     let mut links = Links::new(&[all.clone(), all.clone(), all]);
     for n in 1..=3 {
@@ -239,7 +239,7 @@
     /// Whatever control VMs know and whenever links come up and go down, an entry that is linked to
     /// all of them knows what any of them knew.
     #[test]
-    fn an_entry_ends_with_all_that_is_known(
+    fn entry_converges_to_the_union(
         known in proptest::collection::vec(proptest::collection::vec(0usize..300, 0..80), 3),
         steps in proptest::collection::vec((1usize..4, any::<bool>(), 0u64..60), 0..12),
     ) {
--- a/crates/core/src/node/endpoint_tests.rs
+++ b/crates/core/src/node/endpoint_tests.rs
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn an_entry_tells_the_leader_what_a_parted_control_vm_heard() {
+fn entry_relays_news_of_partitioned_control_vm() {
     let (leader, other): (VmName, VmName) = ("10.0.0.1".into(), "10.0.0.2".into());
     let mut node = linked_entry(&leader, &other);
 
@@ -88,7 +88,7 @@
 }
 
 #[gtest]
-fn an_entry_does_not_tell_the_leader_what_the_leader_tells_meanwhile() {
+fn entry_drops_news_that_the_leader_sends_first() {
     let (leader, other): (VmName, VmName) = ("10.0.0.1".into(), "10.0.0.2".into());
     let mut node = linked_entry(&leader, &other);
 
@@ -100,7 +100,7 @@
 }
 
 #[gtest]
-fn an_entry_keeps_its_news_until_a_leader_is_known() {
+fn entry_queues_news_until_a_leader_is_known() {
     let (leader, other): (VmName, VmName) = ("10.0.0.1".into(), "10.0.0.2".into());
     let mut node = entry();
     node.handle(Input::LinkUp(other.clone()), clocks(1));
@@ -118,7 +118,7 @@
 }
 
 #[gtest]
-fn an_entry_does_not_tell_the_leader_its_own_news() {
+fn entry_does_not_echo_news_to_the_leader() {
     let (leader, other): (VmName, VmName) = ("10.0.0.1".into(), "10.0.0.2".into());
     let mut node = linked_entry(&leader, &other);
 
@@ -159,7 +159,7 @@
 }
 
 #[gtest]
-fn the_first_news_goes_at_once_and_what_follows_goes_together() {
+fn news_after_the_first_is_batched() {
     let entry: VmName = "10.0.1.0".into();
     let mut node = control_vm(100);
 
@@ -178,7 +178,7 @@
 }
 
 #[gtest]
-fn many_endpoints_are_not_handed_out_after_every_change() {
+fn publication_of_many_endpoints_is_throttled() {
     let mut node = control_vm(1);
     let handed_out = |outputs: &[Output]| {
         outputs.iter().filter(|output| matches!(output, Output::Registered(_))).count()
@@ -209,7 +209,7 @@
 }
 
 #[gtest]
-fn endpoints_are_kept_on_disk_only_when_they_have_changed_and_not_after_every_change() {
+fn saves_are_throttled_and_need_changes() {
     let mut node = control_vm(0);
     let mut first = node.handle(heartbeat(1, 1), clocks(1_000));
     first.extend(node.handle(Input::Tick, clocks(1_001)));
@@ -263,7 +263,7 @@
 }
 
 #[gtest]
-fn the_leader_tells_how_many_entries_stop_while_callers_still_come_to_them() {
+fn leader_counts_stopping_entries() {
     let mut node = leader();
 
     let all = entries_after(&mut node, &[("a", false, 3_000), ("b", false, 3_001)]);
@@ -294,7 +294,7 @@
 }
 
 #[gtest]
-fn a_heartbeat_of_a_service_that_is_not_named_harms_no_endpoint_that_is_known() {
+fn unconfigured_service_replaces_no_endpoint() {
     let mut node = configured();
     node.handle(heartbeat(1, 1), clocks(10));
     let known = node.registry.records().next().unwrap().clone();
--- a/crates/core/src/node/suspect_tracker_tests.rs
+++ b/crates/core/src/node/suspect_tracker_tests.rs
@@ -29,7 +29,7 @@
 }
 
 impl Daemon {
-    fn that_saw_an_end() -> Daemon {
+    fn with_reported_crash() -> Daemon {
         let mut daemon = Daemon {
             suspects: SuspectTracker::default(),
             operations: Operations::numbered_from(OPERATION - 1),
@@ -83,11 +83,11 @@
 }
 
 #[gtest]
-fn a_suspect_counts_once_whether_the_answer_or_the_word_to_all_comes_first() {
-    let mut answered_first = Daemon::that_saw_an_end();
+fn suspect_counts_once_in_any_message_order() {
+    let mut answered_first = Daemon::with_reported_crash();
     answered_first.is_answered();
     answered_first.is_told();
-    let mut told_first = Daemon::that_saw_an_end();
+    let mut told_first = Daemon::with_reported_crash();
     told_first.is_told();
     let between = told_first.last_told();
     told_first.is_answered();
--- a/crates/core/src/node/tests/backoff.rs
+++ b/crates/core/src/node/tests/backoff.rs
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn the_leader_places_nothing_of_a_daemon_that_was_asked_to_back_off() {
+fn leader_skips_endpoints_that_back_off_the_daemon() {
     let mut net = configured_net(&Site::new(3, 2), 31);
 
     reject(&mut net, "vm-4", LONG);
@@ -54,12 +54,12 @@
 
     expect_false!(own);
     expect_that!(waited, le(Duration::from_millis(500)));
-    expect_that!(net.observed.refused, elements_are![eq(&"overloaded")]);
+    expect_that!(net.observed.rejected, elements_are![eq(&"overloaded")]);
     expect_true!(of_another);
 }
 
 #[gtest]
-fn a_request_that_can_wait_is_placed_when_the_time_is_over() {
+fn waiting_request_is_placed_after_the_backoff() {
     let mut net = configured_net(&Site::new(3, 2), 32);
 
     reject(&mut net, "vm-4", SHORT);
@@ -71,7 +71,7 @@
 }
 
 #[gtest]
-fn the_next_leader_knows_what_the_lost_one_knew() {
+fn backoff_survives_leader_failover() {
     for seed in 33..43 {
         let mut net = configured_net(&Site::new(3, 2), seed);
         reject(&mut net, "vm-4", LONG);
@@ -86,7 +86,7 @@
 }
 
 #[gtest]
-fn a_daemon_keeps_to_it_while_no_leader_answers() {
+fn backoff_holds_without_a_leader() {
     let mut net = configured_net(&Site::new(3, 2), 34);
     net.replicas().iter().for_each(|vm| net.crash(vm));
     net.run(50);
@@ -98,7 +98,7 @@
 }
 
 #[gtest]
-fn all_daemons_are_told_that_the_endpoint_is_the_last_resort() {
+fn other_daemons_use_the_endpoint_as_last_resort() {
     let mut net = configured_net(&Site::new(3, 3), 35);
 
     reject(&mut net, "vm-4", LONG);
@@ -113,7 +113,7 @@
 }
 
 #[gtest]
-fn a_daemon_that_was_suspended_goes_on_when_the_time_is_over() {
+fn suspended_daemon_resumes_after_the_backoff() {
     let mut net = configured_net(&Site::new(3, 2), 36);
     reject(&mut net, "vm-4", SHORT);
 
--- a/crates/core/src/node/tests/bootstrap.rs
+++ b/crates/core/src/node/tests/bootstrap.rs
@@ -58,7 +58,7 @@
 }
 
 #[gtest]
-fn three_seeds_found_one_group_and_the_others_join_it() {
+fn seeds_bootstrap_one_group_and_others_join() {
     let mut net = Net::new(&large_site(), 1);
 
     net.recover(REPAIR_STEPS);
@@ -68,7 +68,7 @@
 }
 
 #[gtest]
-fn a_vm_that_comes_later_founds_nothing() {
+fn replacement_vm_does_not_bootstrap() {
     let mut net = Net::new(&large_site(), 2);
     net.recover(REPAIR_STEPS);
     net.submit(&"vm-6".into(), 1, "a");
@@ -85,7 +85,7 @@
 }
 
 #[gtest]
-fn a_founder_that_lost_its_disk_founds_nothing_whatever_its_settings_say() {
+fn wiped_seed_does_not_bootstrap_again() {
     let mut net = Net::new(&large_site(), 4);
     net.recover(REPAIR_STEPS);
     net.submit(&"vm-6".into(), 1, "a");
@@ -104,7 +104,7 @@
 }
 
 #[gtest]
-fn two_disks_lost_at_once_lose_nothing() {
+fn two_lost_disks_lose_no_accepted_config() {
     let mut net = Net::new(&large_site(), 3);
     net.recover(REPAIR_STEPS);
     net.submit(&"vm-6".into(), 1, "a");
@@ -123,7 +123,7 @@
     #![proptest_config(crate::testing::fixed_seed(16))]
 
     #[test]
-    fn whatever_is_lost_within_what_is_borne_nothing_accepted_is(seed in any::<u64>()) {
+    fn tolerated_losses_lose_no_accepted_config(seed in any::<u64>()) {
         let mut net = Net::new(&large_site(), seed);
         run_with_link_faults(&mut net, 100);
         net.recover(REPAIR_STEPS);
--- a/crates/core/src/node/tests/crash_retries.rs
+++ b/crates/core/src/node/tests/crash_retries.rs
@@ -126,7 +126,7 @@
 }
 
 #[gtest]
-fn tries_at_three_daemons_at_once_and_on_end_few_endpoints() {
+fn concurrent_retries_crash_few_endpoints() {
     let mut net = configured_net(&Site::new(3, 3), 12);
 
     let callers = run_retrying_callers(&mut net, 0, |_| {});
@@ -137,7 +137,7 @@
 }
 
 #[gtest]
-fn the_loss_of_the_leader_at_any_step_ends_no_more_than_allowed() {
+fn leader_crash_allows_few_more_attempts() {
     for fault_at in (1..240).step_by(3) {
         let mut net = configured_net(&Site::new(3, 3), 13);
 
@@ -153,7 +153,7 @@
 }
 
 #[gtest]
-fn the_loss_of_all_vms_at_any_step_ends_no_more_than_allowed() {
+fn restart_of_all_vms_allows_few_more_attempts() {
     for fault_at in (1..240).step_by(3) {
         let mut net = configured_net(&Site::new(3, 3), 14);
 
@@ -168,7 +168,7 @@
 }
 
 #[gtest]
-fn control_vms_that_nobody_reaches_for_a_while_let_no_more_through() {
+fn control_outage_allows_few_more_attempts() {
     for fault_at in (1..240).step_by(9) {
         let mut net = configured_net(&Site::new(3, 3), 15);
 
@@ -184,7 +184,7 @@
 }
 
 #[gtest]
-fn a_leader_or_an_entry_that_is_suspended_lets_no_more_through() {
+fn suspended_vm_allows_few_more_attempts() {
     for fault_at in (1..240).step_by(9) {
         for leads in [false, true] {
             let mut net = configured_net(&Site::new(3, 3), 16);
--- a/crates/core/src/node/tests/fleet/host.rs
+++ b/crates/core/src/node/tests/fleet/host.rs
@@ -1,4 +1,4 @@
-//! A VM with its daemon and the time that its processor takes.
+//! A VM with its daemon and a model of its CPU time.
 
 use std::collections::VecDeque;
 
@@ -8,26 +8,25 @@
     units::{Instant, UnixMillis},
 };
 
-/// Processor time for a byte that is made or taken in, in nanoseconds of a whole core: a change of
-/// 645 kB was measured to take 12 ms to decode, merge and encode. Every byte of a message is
-/// charged so, also one that is only copied: what stands this does not depend on sharing.
+/// CPU time per byte sent or received, in nanoseconds of a whole core. Copied bytes cost the same, so
+/// that the tests do not depend on shared buffers.
 const BYTE_NS: f64 = 19.0;
-/// Processor time for any input, in nanoseconds of a whole core.
+/// CPU time per input, in nanoseconds of a whole core.
 const INPUT_NS: f64 = 20_000.0;
-/// Cores of a control VM.
+/// CPU cores of a control VM.
 const CONTROL_CORES: f64 = 0.6;
-/// Cores of an entry VM.
+/// CPU cores of an entry VM.
 const ENTRY_CORES: f64 = 0.12;
 
-/// One VM.
+/// A VM with a single-threaded daemon.
 pub(super) struct Host {
     pub(super) node: Node,
     pub(super) is_control: bool,
-    /// Inputs that wait for the daemon's only thread.
+    /// Queued inputs.
     pub(super) waiting: VecDeque<Input>,
-    /// When the thread is done with the last input, in microseconds.
+    /// When the thread has processed the last input, in microseconds.
     pub(super) busy_until: u64,
-    /// When its configuration was last known to be current.
+    /// When its configuration was last confirmed to be current.
     pub(super) confirmed: Option<Instant>,
 }
 
@@ -36,7 +35,7 @@
         Host { node, is_control, waiting: VecDeque::new(), busy_until: 0, confirmed: None }
     }
 
-    /// Takes an input; the thread is busy for what came in and what goes out.
+    /// Processes an input and charges CPU time for the bytes received and sent.
     pub(super) fn handle(&mut self, input: Input, now: u64) -> Vec<Output> {
         let mut bytes = match &input {
             Input::Message(_, body) => message_bytes(body),
--- a/crates/core/src/node/tests/fleet/mod.rs
+++ b/crates/core/src/node/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A calm fleet in virtual time whose links have a bandwidth and whose processors take time for
-//! every byte, so that what is large shows: it holds up whatever comes behind it.
+//! Simulation of a fleet without faults, in virtual time, with limited bandwidth and CPU time per byte.
+//! Large messages thus delay those queued behind them.
 
 mod host;
 mod network;
@@ -24,9 +24,9 @@
     wire::{Body, EndpointRecord, Submit},
 };
 
-/// A sync of a control VM's disk.
+/// Duration of a disk sync on a control VM.
 const SYNC: Duration = Duration::from_millis(2);
-/// Time bounds as the daemons of the users' deployments run.
+/// Intervals and timeouts as in production.
 const TIMING: NodeTiming = NodeTiming {
     agreement: Timing {
         heartbeat: Duration::from_millis(100),
@@ -36,37 +36,37 @@
     stale_after: Duration::from_secs(4),
 };
 
-/// What happens at a moment.
+/// A scheduled event.
 #[derive(Debug)]
 enum Event {
     /// An input reaches a VM.
     Arrives(VmName, Box<Input>),
-    /// A VM is free for its next input, or its timer is due.
+    /// A VM can process its next input, or its timer is due.
     Runs(VmName),
 }
 
-/// Control VMs and entry VMs, every entry linked to every control VM.
+/// Control VMs and entry VMs; every entry is linked to every control VM.
 pub(super) struct Fleet {
     hosts: BTreeMap<VmName, Host>,
     network: Network,
-    /// By time, then in the order in which they came up.
+    /// By time, then in order of scheduling.
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     now: u64,
     next_call: u64,
-    /// When the operator was told that each version is accepted.
+    /// When the acceptance of each version was acknowledged.
     accepted: BTreeMap<u64, u64>,
-    /// The versions that came into force on each VM, and when.
-    in_force: BTreeMap<VmName, BTreeMap<u64, u64>>,
-    /// The longest time for which an entry's configuration was not confirmed.
+    /// When each version was activated on each VM.
+    activated: BTreeMap<VmName, BTreeMap<u64, u64>>,
+    /// Longest time for which an entry's configuration was not confirmed.
     pub(super) longest_unconfirmed: Duration,
-    /// Control VMs that reach only each other and the entries.
+    /// Control VMs that can reach only each other and the entries.
     pub(super) partitioned: BTreeSet<VmName>,
-    /// Terms in which a leader was known.
+    /// Terms with a known leader.
     pub(super) terms: BTreeSet<u64>,
-    /// When each VM first knew so many endpoints.
+    /// When each VM first published each number of endpoints.
     known_at: BTreeMap<VmName, BTreeMap<usize, u64>>,
-    /// When each entry first had a configuration that is known to be current.
+    /// When each entry first had a confirmed configuration.
     confirmed: BTreeMap<VmName, u64>,
 }
 
@@ -81,7 +81,7 @@
             now: 1_000_000,
             next_call: 0,
             accepted: BTreeMap::new(),
-            in_force: BTreeMap::new(),
+            activated: BTreeMap::new(),
             longest_unconfirmed: Duration::ZERO,
             partitioned: BTreeSet::new(),
             terms: BTreeSet::new(),
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Starts the daemons of all entries anew, in the same moment.
+    /// Restarts the daemons of all entries at the same time.
     pub(super) fn restart_entries(&mut self, site: &Site) {
         for vm in &site.entries {
             for control in &site.replicas {
@@ -152,26 +152,26 @@
         }
     }
 
-    /// Control VMs know these endpoints from before their start.
-    pub(super) fn recall(&mut self, site: &Site, records: &[EndpointRecord]) {
+    /// Restores these endpoints on the control VMs, as after a restart.
+    pub(super) fn restore_endpoints(&mut self, site: &Site, records: &[EndpointRecord]) {
         for vm in &site.replicas {
             self.arrive(vm, Input::RestoreEndpoints(records.to_vec()), self.now);
         }
     }
 
-    /// When the last of these VMs knew so many endpoints, if all do.
+    /// When the last of these VMs knew at least `count` endpoints; `None` unless all do.
     pub(super) fn all_known_at(&self, vms: &[VmName], count: usize) -> Option<Instant> {
         let at = |vm: &VmName| self.known_at.get(vm)?.range(count..).map(|(_, at)| *at).min();
         vms.iter().map(at).collect::<Option<Vec<u64>>>()?.into_iter().max().map(Instant)
     }
 
-    /// When the last of these VMs had a configuration that is known to be current, if all do.
+    /// When the last of these VMs had a confirmed configuration; `None` unless all do.
     pub(super) fn all_confirmed_at(&self, vms: &[VmName]) -> Option<Instant> {
         let at = |vm: &VmName| self.confirmed.get(vm).copied();
         vms.iter().map(at).collect::<Option<Vec<u64>>>()?.into_iter().max().map(Instant)
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for this time.
     pub(super) fn run(&mut self, time: Duration) {
         let until = self.now + time.as_micros() as u64;
         while let Some(next) = self.events.first_entry().filter(|e| e.key().0 <= until) {
@@ -188,7 +188,7 @@
         self.now = until;
     }
 
-    /// Lets a VM take its next input, unless it is still at the one before.
+    /// Processes the next input of a VM, unless it is still busy with the one before.
     fn process_next(&mut self, vm: &VmName) {
         let host = self.hosts.get_mut(vm).unwrap();
         if self.now < host.busy_until {
@@ -220,7 +220,7 @@
                 self.accepted.insert(accepted.version, at);
             }
             Output::ConfigActivated(active_config) => {
-                let versions = self.in_force.entry(vm.clone()).or_default();
+                let versions = self.activated.entry(vm.clone()).or_default();
                 versions.insert(active_config.version, at);
             }
             Output::Leader { term, .. } if 0 < term => {
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Notes for how long an entry went on by what it knew before this confirmation.
+    /// Updates the longest time that an entry's configuration was not confirmed.
     fn record_confirmation(&mut self, vm: &VmName, confirmed: Instant) {
         self.confirmed.entry(vm.clone()).or_insert(self.now);
         let host = self.hosts.get_mut(vm).unwrap();
@@ -253,7 +253,7 @@
         if both_control && self.partitioned.contains(from) != self.partitioned.contains(to) {
             return;
         }
-        let arrives = self.network.carry(from, to, message_bytes(&body), at);
+        let arrives = self.network.send(from, to, message_bytes(&body), at);
         self.arrive(to, Input::Message(from.clone(), body), arrives);
     }
 
@@ -266,7 +266,7 @@
         self.events.insert((at, self.next_event), event);
     }
 
-    /// Submits a file at a VM, made from what is in force there.
+    /// Submits a file at a VM, as a change of the configuration that is active there.
     pub(super) fn submit(&mut self, vm: &VmName, version: u64, text: &str) {
         let document = Document::parse("f.ini", text).unwrap();
         let active_config = self.hosts[vm].node.active_config();
@@ -280,45 +280,45 @@
         self.arrive(vm, Input::Call(CallId(self.next_call), question), self.now);
     }
 
-    /// Bytes of the change that a text makes on what is in force at a VM.
+    /// Bytes of the change from a VM's active configuration to a file.
     pub(super) fn change_bytes(&self, vm: &VmName, text: &str) -> usize {
         let document = Document::parse("f.ini", text).unwrap();
         let active_config = self.hosts[vm].node.active_config().unwrap();
         ConfigChange::new(0, 0, &active_config.document, &document).delta.len()
     }
 
-    /// Bytes that have reached a VM so far.
+    /// Bytes that a VM has received so far.
     pub(super) fn received(&self, vm: &VmName) -> usize {
         self.network.received(vm)
     }
 
-    /// The longest time in which a message of less than a kilobyte reached an entry.
+    /// Longest delivery time of a small message to an entry.
     pub(super) fn slowest_small_message(&self) -> Duration {
         self.network.slowest_small
     }
 
-    /// The VM of the leader that has committed an entry of its own term.
+    /// The leader that has committed an entry of its own term.
     pub(super) fn leader(&self) -> VmName {
         let mut leaders = self.hosts.iter().filter(|(_, host)| host.node.leads());
         leaders.next().map(|(vm, _)| vm.clone()).expect("some replica leads")
     }
 
-    /// The time.
+    /// The simulated time.
     pub(super) fn now(&self) -> Instant {
         Instant(self.now)
     }
 
-    /// When a version was accepted, as far as its operator knows.
+    /// When the acceptance of a version was acknowledged.
     pub(super) fn accepted_at(&self, version: u64) -> Option<Instant> {
         self.accepted.get(&version).copied().map(Instant)
     }
 
-    /// How long after its acceptance a version, or a newer one, came into force on each VM; nothing
-    /// where none did.
-    pub(super) fn delays(&self, version: u64) -> BTreeMap<VmName, Option<Duration>> {
+    /// Time from the acceptance of a version to the activation of it or a newer one on each VM; `None`
+    /// where none was activated.
+    pub(super) fn activation_delays(&self, version: u64) -> BTreeMap<VmName, Option<Duration>> {
         let accepted = self.accepted_at(version);
         let delay = |vm: &VmName| {
-            let (_, at) = self.in_force.get(vm)?.range(version..).next()?;
+            let (_, at) = self.activated.get(vm)?.range(version..).next()?;
             Some(Instant(*at).since(accepted?))
         };
         self.hosts.keys().map(|vm| (vm.clone(), delay(vm))).collect()
--- a/crates/core/src/node/tests/fleet/network.rs
+++ b/crates/core/src/node/tests/fleet/network.rs
@@ -1,4 +1,4 @@
-//! The network: a link for each VM, on which messages go one after the other.
+//! Model of the network: each VM has an access link that carries one message at a time.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,37 +9,37 @@
     wire::{Body, Envelope},
 };
 
-/// One way between two VMs, in microseconds.
+/// One-way latency between two VMs, in microseconds.
 const DELAY_US: u64 = 1_400;
-/// Bytes that the link of an entry VM carries in a microsecond: 10 Mbit/s.
+/// Bandwidth of an entry VM in bytes per microsecond: 10 Mbit/s.
 const ENTRY_RATE: f64 = 1.25;
-/// Bytes that the link of a control VM carries in a microsecond: 1,000 Mbit/s.
+/// Bandwidth of a control VM in bytes per microsecond: 1,000 Mbit/s.
 const CONTROL_RATE: f64 = 125.0;
-/// A message of fewer bytes is a small one: polls, confirmations, grants, heartbeats.
-const SMALL: usize = 1_024;
+/// Messages below this size count as small: polls, confirmations, grants, heartbeats.
+const SMALL_MESSAGE_BYTES: usize = 1_024;
 
-/// Bytes of a message on a link.
+/// Encoded size of a message with its length prefix.
 pub(super) fn message_bytes(body: &Body) -> usize {
-    const LENGTH: usize = 4;
-    LENGTH + Envelope { body: Some(body.clone()) }.encoded_len()
+    const LENGTH_PREFIX: usize = 4;
+    LENGTH_PREFIX + Envelope { body: Some(body.clone()) }.encoded_len()
 }
 
-/// A VM's own link to the network.
+/// Link of a VM to the network.
 struct AccessLink {
-    /// Bytes in a microsecond.
+    /// Bandwidth, in bytes per microsecond.
     rate: f64,
-    /// When each direction is free, in microseconds.
+    /// When each direction is idle, in microseconds.
     out_free: u64,
     in_free: u64,
     received: usize,
     is_entry: bool,
 }
 
-/// All VMs' links.
+/// The links of all VMs.
 #[derive(Default)]
 pub(super) struct Network {
     links: BTreeMap<VmName, AccessLink>,
-    /// The longest time in which a small message reached an entry VM.
+    /// Longest delivery time of a small message to an entry VM.
     pub(super) slowest_small: Duration,
 }
 
@@ -51,8 +51,8 @@
         self.links.insert(vm.clone(), access);
     }
 
-    /// When a message that is sent now has arrived whole.
-    pub(super) fn carry(&mut self, from: &VmName, to: &VmName, bytes: usize, now: u64) -> u64 {
+    /// Sends a message and returns when it has arrived completely.
+    pub(super) fn send(&mut self, from: &VmName, to: &VmName, bytes: usize, now: u64) -> u64 {
         let out = self.links.get_mut(from).unwrap();
         let left = now.max(out.out_free) + (bytes as f64 / out.rate) as u64;
         out.out_free = left;
@@ -60,7 +60,7 @@
         let arrives = (left + DELAY_US).max(into.in_free) + (bytes as f64 / into.rate) as u64;
         into.in_free = arrives;
         into.received += bytes;
-        if bytes < SMALL && into.is_entry {
+        if bytes < SMALL_MESSAGE_BYTES && into.is_entry {
             self.slowest_small = self.slowest_small.max(Duration::from_micros(arrives - now));
         }
         arrives
--- a/crates/core/src/node/tests/halls.rs
+++ b/crates/core/src/node/tests/halls.rs
@@ -33,7 +33,7 @@
 }
 
 #[gtest]
-fn a_hall_that_is_taken_out_is_out_on_every_daemon_a_moment_after_the_answer() {
+fn hall_order_reaches_every_daemon() {
     let mut net = configured_net(&small_site(), 1);
 
     let call = net.order_hall(&"vm-2".into(), "h", true);
@@ -46,7 +46,7 @@
 }
 
 #[gtest]
-fn a_hall_that_is_out_gets_nothing_and_its_requests_are_refused_at_once() {
+fn hall_out_of_service_rejects_requests() {
     let mut net = configured_net(&small_site(), 2);
     let call = net.order_hall(&"vm-1".into(), "h", true);
     net.wait_for_answer(call);
@@ -55,7 +55,7 @@
     net.ask(&net.entry(), NodeCall::Place(request()));
     net.run(5);
     let placed_while_out = net.observed.placed.len();
-    let refused = net.observed.refused.clone();
+    let refused = net.observed.rejected.clone();
     let call = net.order_hall(&"vm-2".into(), "h", false);
     net.wait_for_answer(call);
     net.run(2);
@@ -68,13 +68,13 @@
 }
 
 #[gtest]
-fn what_waits_for_a_hall_is_refused_when_it_is_taken_out() {
+fn hall_order_rejects_waiting_requests() {
     let mut net = configured_net(&small_site(), 3);
     for _ in 0..5 {
         net.ask(&net.entry(), NodeCall::Place(request()));
     }
     net.run(5);
-    let waited = net.observed.refused.len();
+    let waited = net.observed.rejected.len();
 
     let call = net.order_hall(&"vm-1".into(), "h", true);
     net.wait_for_answer(call);
@@ -82,11 +82,11 @@
 
     expect_that!(waited, eq(0));
     expect_that!(net.observed.placed.len(), eq(4));
-    expect_that!(net.observed.refused, eq(&vec!["out_of_service"]));
+    expect_that!(net.observed.rejected, eq(&vec!["out_of_service"]));
 }
 
 #[gtest]
-fn daemons_without_a_scheduler_obey_as_well() {
+fn hall_order_applies_without_a_scheduler() {
     let mut net = configured_net(&small_site(), 4);
     let call = net.order_hall(&"vm-1".into(), "h", true);
     net.wait_for_answer(call);
@@ -100,11 +100,11 @@
     net.run(5);
 
     expect_that!(net.observed.placed, is_empty());
-    expect_that!(net.observed.refused, eq(&vec!["out_of_service"]));
+    expect_that!(net.observed.rejected, eq(&vec!["out_of_service"]));
 }
 
 #[gtest]
-fn orders_outlive_the_loss_of_two_disks_and_of_all_vms_at_once() {
+fn hall_orders_survive_disk_loss_and_full_restart() {
     let mut net = configured_net(&large_site(), 5);
     let call = net.order_hall(&"vm-3".into(), "h", true);
     net.wait_for_answer(call);
@@ -122,7 +122,7 @@
 }
 
 #[gtest]
-fn the_vm_that_acknowledged_may_lose_its_disk_right_after() {
+fn hall_order_survives_disk_loss_of_its_vm() {
     for vm in 1..=5 {
         let vm: VmName = format!("vm-{vm}").into();
         let mut net = configured_net(&large_site(), 6);
@@ -140,7 +140,7 @@
 }
 
 #[gtest]
-fn an_order_that_a_cut_has_held_up_past_its_opposite_changes_nothing() {
+fn outdated_hall_order_has_no_effect() {
     let mut net = configured_net(&large_site(), 7);
     let cut: VmName =
         net.replicas().into_iter().find(|vm| Some(vm) != net.leader().as_ref()).unwrap();
@@ -161,7 +161,7 @@
 }
 
 #[gtest]
-fn what_is_out_is_told_only_as_confirmed_after_the_question() {
+fn hall_reads_are_linearizable() {
     let mut net = configured_net(&small_site(), 8);
     let old = net.leader().unwrap();
     let call = net.order_hall(&"vm-4".into(), "h", true);
@@ -188,7 +188,7 @@
     /// Under crashes, cuts, frozen VMs and racing operators: no daemon goes back, all end with the
     /// same, and what was acknowledged and not countermanded is in force.
     #[test]
-    fn halls_never_go_back_and_no_acknowledged_order_is_lost(seed in any::<u64>()) {
+    fn hall_orders_are_monotonic_and_durable(seed in any::<u64>()) {
         let mut net = Net::new(&small_site(), seed);
         net.recover(60);
         for _ in 0..60 {
@@ -203,6 +203,6 @@
             prop_assert_eq!(net.observed.halls.known(&vm), first.clone());
         }
         prop_assert!(0 < first.number);
-        net.observed.halls.check_all_obeyed(&first);
+        net.observed.halls.check_all_applied(&first);
     }
 }
--- a/crates/core/src/node/tests/large_change.rs
+++ b/crates/core/src/node/tests/large_change.rs
@@ -73,11 +73,16 @@
 /// The VMs on which a version, or a newer one, came into force too late or not at all.
 fn late_vms(fleet: &Fleet, version: u64) -> Vec<VmName> {
     let in_time = |delay: &Option<Duration>| delay.is_some_and(|d| d <= ACTIVATION_LIMIT);
-    fleet.delays(version).into_iter().filter(|(_, d)| !in_time(d)).map(|(vm, _)| vm).collect()
+    fleet
+        .activation_delays(version)
+        .into_iter()
+        .filter(|(_, d)| !in_time(d))
+        .map(|(vm, _)| vm)
+        .collect()
 }
 
 #[gtest]
-fn large_changes_are_in_force_in_time_and_cost_no_leader_its_lead() {
+fn large_changes_activate_in_time_without_elections() {
     let mut fleet = configured_fleet();
     let terms = fleet.terms.clone();
     let leader = fleet.leader();
@@ -96,7 +101,7 @@
 }
 
 #[gtest]
-fn a_daemon_is_sent_a_large_change_once() {
+fn large_change_is_sent_once_per_daemon() {
     let mut fleet = configured_fleet();
     let leader = fleet.leader();
     let bytes = fleet.change_bytes(&leader, &file(2, ROUTES));
@@ -113,7 +118,7 @@
 }
 
 #[gtest]
-fn small_messages_do_not_wait_for_a_large_change() {
+fn large_change_does_not_delay_small_messages() {
     let mut fleet = configured_fleet();
     let leader = fleet.leader();
 
@@ -126,7 +131,7 @@
 }
 
 #[gtest]
-fn control_vms_that_are_cut_off_keep_no_entry_waiting() {
+fn partitioned_control_vms_do_not_delay_entries() {
     let mut fleet = configured_fleet();
     let leader = fleet.leader();
     let others = site().replicas.into_iter().filter(|vm| *vm != leader);
@@ -151,7 +156,7 @@
 /// followed each other: 40 entries were up to thirteen versions behind, as a daemon fetched one change
 /// after the other, also those that a later one had made void, and fell behind a little more with each.
 #[gtest]
-fn entries_keep_up_with_large_changes_that_follow_each_other() {
+fn entries_keep_up_with_successive_large_changes() {
     let mut fleet = configured_fleet();
     let leader = fleet.leader();
 
@@ -168,7 +173,7 @@
 }
 
 #[gtest]
-fn hundreds_of_entries_keep_up_with_a_storm_of_changes() {
+fn many_entries_keep_up_with_many_changes() {
     let mut fleet = configured_fleet_of(&Site::new(5, MANY_ENTRIES));
     let leader = fleet.leader();
     let terms = fleet.terms.clone();
--- a/crates/core/src/node/tests/leaving_response.rs
+++ b/crates/core/src/node/tests/leaving_response.rs
@@ -48,7 +48,7 @@
 }
 
 #[gtest]
-fn the_daemon_knows_at_once_and_all_others_soon() {
+fn leaving_applies_at_once_and_spreads() {
     let mut net = with_endpoint(51);
     let before: Vec<bool> = net.vms().iter().map(|vm| accepts_requests(&net, vm)).collect();
 
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn a_heartbeat_that_says_the_opposite_changes_nothing() {
+fn heartbeat_does_not_revoke_leaving() {
     let mut net = with_endpoint(52);
 
     announce_leaving(&mut net, "vm-4", RUN);
@@ -78,7 +78,7 @@
 }
 
 #[gtest]
-fn a_daemon_that_nobody_reaches_knows_by_itself() {
+fn isolated_daemon_applies_leaving() {
     let mut net = with_endpoint(53);
     net.partitioned = ["vm-4".into()].into();
     net.isolate(&"vm-4".into());
@@ -95,7 +95,7 @@
 }
 
 #[gtest]
-fn it_speaks_of_one_run_only() {
+fn leaving_applies_to_one_run() {
     let mut net = with_endpoint(54);
 
     announce_leaving(&mut net, "vm-4", RUN);
--- a/crates/core/src/node/tests/mod.rs
+++ b/crates/core/src/node/tests/mod.rs
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn an_accepted_file_is_in_force_everywhere() {
+fn accepted_config_activates_on_all_daemons() {
     let mut net = Net::new(&small_site(), 1);
     net.recover(100);
 
@@ -42,7 +42,7 @@
 }
 
 #[gtest]
-fn a_cut_off_leader_vouches_for_nothing_and_a_restarted_daemon_does_not_revert() {
+fn partitioned_leader_confirms_no_config() {
     let mut net = Net::new(&small_site(), 3);
     net.recover(100);
     net.submit(&"vm-4".into(), 1, "a");
@@ -66,7 +66,7 @@
 }
 
 #[gtest]
-fn a_restarted_daemon_takes_nothing_older_from_a_control_vm_that_is_behind() {
+fn restarted_daemon_ignores_stale_control_vm() {
     for behind in 1..=3 {
         let behind: VmName = format!("vm-{behind}").into();
         let mut net = Net::new(&small_site(), 11);
@@ -94,7 +94,7 @@
 }
 
 #[gtest]
-fn a_wiped_disk_is_repaired_before_the_next_loss() {
+fn wiped_replica_is_replaced() {
     let mut net = Net::new(&small_site(), 5);
     net.recover(100);
     net.submit(&"vm-4".into(), 1, "a");
@@ -117,7 +117,7 @@
 }
 
 #[gtest]
-fn the_answer_to_a_daemons_former_run_is_not_taken_for_that_to_a_new_question() {
+fn replies_to_a_former_run_are_ignored() {
     for steps in 0..6 {
         let mut net = Net::new(&small_site(), 13);
         net.recover(100);
@@ -147,7 +147,7 @@
 }
 
 #[gtest]
-fn requests_are_placed_without_any_leader_as_far_as_engines_have_places() {
+fn requests_are_placed_up_to_slots_without_leader() {
     let mut net = without_control();
 
     for _ in 0..6 {
@@ -159,7 +159,7 @@
 }
 
 #[gtest]
-fn a_place_that_no_scheduler_has_granted_names_the_engines_to_ask() {
+fn local_placement_lists_sampled_endpoints() {
     let mut net = without_control();
 
     net.ask(&"vm-4".into(), NodeCall::Place(request()));
@@ -171,7 +171,7 @@
 }
 
 #[gtest]
-fn a_granted_place_needs_no_engines_word() {
+fn granted_placement_has_no_samples() {
     let mut net = Net::new(&small_site(), 7);
     net.recover(100);
     net.submit(&"vm-4".into(), 1, "a");
@@ -185,7 +185,7 @@
 }
 
 #[gtest]
-fn a_frozen_leader_does_not_hold_requests_up() {
+fn suspended_leader_does_not_delay_requests() {
     let mut net = Net::new(&small_site(), 9);
     net.recover(100);
     net.submit(&"vm-4".into(), 1, "a");
@@ -204,7 +204,7 @@
     #![proptest_config(crate::testing::fixed_seed(60))]
 
     #[test]
-    fn configurations_never_revert_and_claims_are_granted_once(seed in any::<u64>()) {
+    fn configs_never_revert_and_claims_have_one_owner(seed in any::<u64>()) {
         let mut net = Net::new(&small_site(), seed);
         net.recover(60);
         net.run_with_faults(400);
--- a/crates/core/src/node/tests/net/faults.rs
+++ b/crates/core/src/node/tests/net/faults.rs
@@ -1,4 +1,4 @@
-//! Mishaps, what operators and callers ask meanwhile, and the calm after.
+//! Fault injection, concurrent requests of operators and callers, and recovery.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 };
 
 impl Net {
-    /// Any VM.
+    /// Picks a random VM.
     pub(crate) fn random_vm(&mut self) -> VmName {
         let vms = self.vms();
         vms[self.random(vms.len() as u64) as usize].clone()
     }
 
-    /// A mishap or the end of one, at any VM.
+    /// Starts or ends a random fault at a random VM.
     pub(crate) fn inject_fault(&mut self) {
         let vm = self.random_vm();
         let other = self.random_vm();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// What an operator or a caller asks of any VM.
+    /// Makes a random request of an operator or a caller at a random VM.
     pub(crate) fn random_request(&mut self) {
         let vm = self.random_vm();
         match self.random(5) {
@@ -80,7 +80,7 @@
         self.ask(vm, NodeCall::Claim { claim, limit: Duration::from_secs(2) });
     }
 
-    /// Messages that are late, daemons that are cut off or frozen, operators and callers.
+    /// Runs with delayed messages, random faults and random requests.
     pub(crate) fn run_with_faults(&mut self, steps: usize) {
         for _ in 0..steps {
             self.step(true);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Ends all mishaps and lets time pass.
+    /// Ends all faults and runs.
     pub(crate) fn recover(&mut self, steps: usize) {
         self.partitioned.clear();
         for vm in self.vms() {
--- a/crates/core/src/node/tests/net/fixture.rs
+++ b/crates/core/src/node/tests/net/fixture.rs
@@ -1,4 +1,4 @@
-//! The file and the request that the tests use.
+//! Configuration file and request of the tests.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
     placement::{PrefixHash, Request, Ticket},
 };
 
-/// Every version that is a multiple of this is so large that it travels in several pieces.
-const LARGE: u64 = 3;
-/// Sections of a large file, and bytes of each.
+/// Versions that are a multiple of this are large enough to be sent in several pieces.
+const LARGE_VERSIONS: u64 = 3;
+/// Number of filler sections in a large file, and bytes of each.
 const FILLERS: usize = 6;
 const FILLER_BYTES: usize = PIECE_BYTES / 2;
 
-/// The text of a file of this version; `content` tells files of one version apart.
+/// Text of a configuration file; `content` distinguishes files of the same version.
 pub(super) fn file(version: u64, content: &str) -> String {
     let digest = key_digest("k");
     let mut text = format!(
@@ -24,7 +24,7 @@
          [endpoint e0]\nhall = h\naddress = 127.0.0.1:9000\nmodel = m\nslots = 4\nkv_tokens = 100000\n\
          [service s]\nmax_connections = 100\n"
     );
-    if version.is_multiple_of(LARGE) {
+    if version.is_multiple_of(LARGE_VERSIONS) {
         for n in 0..FILLERS {
             let source = format!("{content}{version:0FILLER_BYTES$}");
             text += &format!("[kind filler-{n}]\nsource = {source}\n");
@@ -33,7 +33,7 @@
     text
 }
 
-/// A request that any endpoint of [`file`] may take.
+/// A request that any endpoint of [`file`] can run.
 pub(crate) fn request() -> Request {
     Request {
         ticket: Ticket { entry: 0, number: 0 },
--- a/crates/core/src/node/tests/net/hall_observations.rs
+++ b/crates/core/src/node/tests/net/hall_observations.rs
@@ -1,4 +1,4 @@
-//! What operators and daemons have seen of the data halls that are out of service.
+//! Observed orders and states of data halls, and the invariants on them.
 
 use std::collections::BTreeMap;
 
@@ -8,48 +8,51 @@
     units::Instant,
 };
 
-/// An order that an operator gave.
+/// An order of an operator.
 #[derive(Debug, Clone)]
 struct HallOrderRecord {
     hall: String,
     out: bool,
-    asked: Instant,
-    /// When the operator was told that it is in force.
-    told: Option<Instant>,
+    requested_at: Instant,
+    acknowledged_at: Option<Instant>,
 }
 
-/// Orders about data halls, and what is in force where.
+/// Orders about data halls and the states that daemons have published.
 #[derive(Default)]
 pub(crate) struct HallObservations {
     orders: BTreeMap<CallId, HallOrderRecord>,
-    /// What is out of service as of each order, wherever it was seen.
+    /// Halls out of service as of each order number.
     by_number: BTreeMap<u64, HallsOut>,
-    /// What each daemon knows since its start.
+    /// State of each daemon since its start.
     known: BTreeMap<VmName, HallsOut>,
 }
 
 impl HallObservations {
-    /// Notes an order before it is asked.
+    /// Records an order before it is sent.
     pub(super) fn record_order(&mut self, call: CallId, order: &HallOrder, now: Instant) {
-        let given =
-            HallOrderRecord { hall: order.hall.clone(), out: order.out, asked: now, told: None };
+        let given = HallOrderRecord {
+            hall: order.hall.clone(),
+            out: order.out,
+            requested_at: now,
+            acknowledged_at: None,
+        };
         self.orders.insert(call, given);
     }
 
-    /// Takes the answer to an order.
+    /// Records the reply to an order.
     pub(super) fn record_reply(&mut self, call: CallId, result: HallResult, now: Instant) {
         if matches!(result, HallResult::Done | HallResult::Repeated) {
-            self.orders.get_mut(&call).unwrap().told = Some(now);
+            self.orders.get_mut(&call).unwrap().acknowledged_at = Some(now);
         }
     }
 
-    /// A daemon has started.
+    /// Forgets the state of a daemon that restarts.
     pub(super) fn started(&mut self, vm: &VmName) {
         self.known.remove(vm);
     }
 
-    /// Checks what a daemon takes to be out of service: never older than before, and the same
-    /// wherever it is of the same order.
+    /// Checks a published state: never older than the one before, and the same on all daemons as of
+    /// the same order.
     pub(super) fn check(&mut self, vm: &VmName, halls: &HallsOut) {
         let known = self.by_number.entry(halls.number).or_insert_with(|| halls.clone());
         assert_eq!(known, halls, "two states as of one order");
@@ -58,34 +61,37 @@
         *before = halls.clone();
     }
 
-    /// Checks that a daemon which takes its state for confirmed as of `at` obeys every order that
-    /// was acknowledged before and that nobody has given the opposite of since.
+    /// Checks that a state confirmed as of `at` contains every order that was acknowledged before
+    /// and not reversed since.
     pub(super) fn check_confirmed(&self, vm: &VmName, at: Instant) {
-        for order in self.unopposed().filter(|order| order.told.is_some_and(|told| told < at)) {
+        for order in self
+            .unreversed()
+            .filter(|order| order.acknowledged_at.is_some_and(|acknowledged| acknowledged < at))
+        {
             let knows = self.known.get(vm).is_some_and(|halls| halls.contains(&order.hall));
-            assert_eq!(knows, order.out, "{vm} confirmed as of {at:?} does not obey {order:?}");
+            assert_eq!(knows, order.out, "{vm} confirmed as of {at:?} lacks {order:?}");
         }
     }
 
-    /// Checks that this state obeys every acknowledged order that was not countermanded.
-    pub(crate) fn check_all_obeyed(&self, halls: &HallsOut) {
-        for order in self.unopposed() {
+    /// Checks that a state contains every acknowledged order that was not reversed.
+    pub(crate) fn check_all_applied(&self, halls: &HallsOut) {
+        for order in self.unreversed() {
             assert_eq!(halls.contains(&order.hall), order.out, "{order:?} was lost");
         }
     }
 
-    /// What a daemon knows.
+    /// State of a daemon.
     pub(crate) fn known(&self, vm: &str) -> HallsOut {
         self.known.get(vm).cloned().unwrap_or_default()
     }
 
-    /// Acknowledged orders of which nobody has given the opposite after they were asked.
-    fn unopposed(&self) -> impl Iterator<Item = &HallOrderRecord> {
-        let is_opposed = |order: &HallOrderRecord| {
+    /// Acknowledged orders that were not reversed after they were requested.
+    fn unreversed(&self) -> impl Iterator<Item = &HallOrderRecord> {
+        let is_reversed = |order: &HallOrderRecord| {
             let opposite = |o: &&HallOrderRecord| o.hall == order.hall && o.out != order.out;
-            self.orders.values().filter(opposite).any(|o| order.asked <= o.asked)
+            self.orders.values().filter(opposite).any(|o| order.requested_at <= o.requested_at)
         };
-        let acknowledged = self.orders.values().filter(|order| order.told.is_some());
-        acknowledged.filter(move |order| !is_opposed(order))
+        let acknowledged = self.orders.values().filter(|order| order.acknowledged_at.is_some());
+        acknowledged.filter(move |order| !is_reversed(order))
     }
 }
--- a/crates/core/src/node/tests/net/mod.rs
+++ b/crates/core/src/node/tests/net/mod.rs
@@ -1,5 +1,5 @@
-//! Whole nodes over links that break, with crashes, frozen processes, racing operators and
-//! lost answers; checks what the outside world sees while it runs.
+//! Simulation of whole nodes with broken links, crashes, suspended processes, concurrent operators and
+//! lost replies. Invariants on the observable behavior are checked while it runs.
 
 mod faults;
 mod fixture;
@@ -29,11 +29,11 @@
 
 pub(super) use self::{fixture::request, site::Site};
 
-/// Time that one step takes.
+/// Duration of one step, in microseconds.
 const STEP_US: u64 = 20_000;
-/// A replica on a VM whose disk was lost has another id than the one before, and than any on another
-/// VM: more than there are numbers of VMs.
-const IDS_OF_A_VM: u64 = 1 << 20;
+/// Distance between the replica ids of one VM after successive disk losses; above any VM number, so
+/// that ids are unique.
+const REPLICA_ID_STRIDE: u64 = 1 << 20;
 
 /// One direction of a link between two VMs.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -42,7 +42,7 @@
     to: VmName,
 }
 
-/// All VMs and the links between them.
+/// Simulated VMs and the links between them.
 pub(super) struct Net {
     seeds: Vec<VmName>,
     max_voters: usize,
@@ -51,9 +51,9 @@
     now: u64,
     choices: Choices,
     next_call: u64,
-    /// VMs that reach only each other.
+    /// VMs that can reach only each other.
     pub(super) partitioned: BTreeSet<VmName>,
-    /// What the outside world has seen so far.
+    /// What operators, callers and daemons have observed.
     pub(super) observed: Observations,
 }
 
@@ -88,12 +88,12 @@
         self.hosts.keys().cloned().collect()
     }
 
-    /// A random number below `below`.
+    /// Returns a random number below `below`.
     pub(super) fn random(&mut self, below: u64) -> u64 {
         self.choices.below(below)
     }
 
-    /// Starts a VM's daemon from what its disk holds.
+    /// Starts a VM's daemon from its disk.
     pub(super) fn start(&mut self, vm: &VmName) {
         let now = Instant(self.now);
         let seed = self.random(1 << 40);
@@ -113,7 +113,7 @@
         let host = self.hosts.get_mut(vm).unwrap();
         host.node = Some(if host.replica {
             let number: u64 = vm[3..].parse().unwrap();
-            let id = number + IDS_OF_A_VM * host.incarnation;
+            let id = number + REPLICA_ID_STRIDE * host.incarnation;
             Node::replica(&options, id, host.disk.restored.clone(), now)
         } else {
             Node::entry(&options, now)
@@ -124,13 +124,19 @@
         }
     }
 
-    /// Links a pair, if both run and one of them is a control replica.
+    /// Links two VMs, if both run and one of them is a control replica.
     pub(super) fn connect(&mut self, a: &VmName, b: &VmName) {
         let runs = |vm: &VmName| self.hosts[vm].node.is_some();
         let control = self.hosts[a].replica || self.hosts[b].replica;
-        let cut = self.partitioned.contains(a) != self.partitioned.contains(b);
+        let is_partitioned = self.partitioned.contains(a) != self.partitioned.contains(b);
         let link = Link { from: a.clone(), to: b.clone() };
-        if a == b || !control || cut || !runs(a) || !runs(b) || self.links.contains_key(&link) {
+        if a == b
+            || !control
+            || is_partitioned
+            || !runs(a)
+            || !runs(b)
+            || self.links.contains_key(&link)
+        {
             return;
         }
         self.links.insert(link.clone(), VecDeque::new());
@@ -139,7 +145,7 @@
         self.handle(b, Input::LinkUp(a.clone()));
     }
 
-    /// Breaks the link of a pair, if there is one.
+    /// Breaks the link between two VMs, if there is one.
     pub(super) fn disconnect(&mut self, a: &VmName, b: &VmName) {
         let known = self.links.remove(&Link { from: a.clone(), to: b.clone() }).is_some();
         self.links.remove(&Link { from: b.clone(), to: a.clone() });
@@ -156,8 +162,7 @@
         }
     }
 
-    /// Takes a VM's disk away; it starts again with an empty one, knowing that the system has
-    /// started before.
+    /// Crashes a VM and empties its disk; it will not bootstrap the group again.
     pub(super) fn wipe_disk(&mut self, vm: &VmName) {
         self.crash(vm);
         let host = self.hosts.get_mut(vm).unwrap();
@@ -166,7 +171,7 @@
         host.bootstraps = false;
     }
 
-    /// Takes a VM away for good; another one comes in its place.
+    /// Removes a VM and adds a new one in its place, which is not started.
     pub(super) fn replace_vm(&mut self, vm: &VmName) -> VmName {
         self.crash(vm);
         let host = self.hosts.remove(vm).unwrap();
@@ -176,19 +181,19 @@
         new
     }
 
-    /// The control replicas.
+    /// VMs with a control replica.
     pub(super) fn replicas(&self) -> Vec<VmName> {
         let replicas = self.hosts.iter().filter(|(_, host)| host.replica);
         replicas.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// A daemon without a control replica.
+    /// First VM without a control replica.
     pub(super) fn entry(&self) -> VmName {
         let mut entries = self.hosts.iter().filter(|(_, host)| !host.replica);
         entries.next().map(|(vm, _)| vm.clone()).unwrap()
     }
 
-    /// Lets time pass until a question is answered.
+    /// Runs until a call is answered.
     pub(super) fn wait_for_answer(&mut self, call: CallId) {
         const STEPS: usize = 200;
         for _ in 0..STEPS {
@@ -200,7 +205,7 @@
         panic!("no answer");
     }
 
-    /// Kills a daemon; of its writes under way some reach the disk.
+    /// Kills a daemon; a random number of its pending writes reaches the disk.
     pub(super) fn crash(&mut self, vm: &VmName) {
         let writes = self.hosts[vm].writes.len() as u64;
         let written = self.random(writes + 1) as usize;
@@ -214,7 +219,7 @@
         self.isolate(vm);
     }
 
-    /// Hands an input to a node and carries out what it puts out.
+    /// Passes an input to a node and executes its outputs.
     pub(super) fn handle(&mut self, vm: &VmName, input: Input) {
         let clocks = Clocks { now: Instant(self.now), wall: UnixMillis(self.now / 1_000) };
         let host = self.hosts.get_mut(vm).unwrap();
@@ -236,10 +241,10 @@
                 self.hosts.get_mut(vm).unwrap().writes.push_back((number, persist));
             }
             Output::ConfigActivated(active_config) => {
-                self.observed.check_in_force(vm, &active_config)
+                self.observed.check_activation(vm, &active_config)
             }
             Output::Reply(call, answer) => {
-                self.observed.check_answer(call, answer, Instant(self.now));
+                self.observed.check_reply(call, answer, Instant(self.now));
             }
             Output::ConfigFreshness { confirmed: Some(at), .. } => {
                 self.observed.check_confirmed(vm, self.version_at(vm), at);
@@ -264,12 +269,12 @@
         }
     }
 
-    /// The time by the clock of every daemon.
+    /// The simulated time.
     pub(super) fn time(&self) -> Instant {
         Instant(self.now)
     }
 
-    /// How a request stands by what a VM's daemon knows; nothing while it does not run.
+    /// Crashes that a daemon counts against a request; `None` while it does not run.
     pub(super) fn standing(&self, vm: &VmName, request: &RequestDigest) -> Option<CrashCounts> {
         Some(self.hosts[vm].node.as_ref()?.standing(request))
     }
@@ -279,15 +284,15 @@
         self.hosts[vm].node.as_ref().is_some_and(Node::is_fresh)
     }
 
-    /// Asks a node; the answer is checked when it comes.
-    pub(super) fn ask(&mut self, vm: &VmName, question: NodeCall) -> CallId {
+    /// Makes a call to a node; the reply is checked on arrival.
+    pub(super) fn ask(&mut self, vm: &VmName, request: NodeCall) -> CallId {
         self.next_call += 1;
         let call = CallId(self.next_call);
-        self.handle(vm, Input::Call(call, question));
+        self.handle(vm, Input::Call(call, request));
         call
     }
 
-    /// Submits a file of this version, made from what is in force at the VM.
+    /// Submits a file at a VM, as a change of the configuration that is active there.
     pub(super) fn submit(&mut self, vm: &VmName, version: u64, content: &str) {
         let document = Document::parse("f.ini", &file(version, content)).unwrap();
         let active_config = self.hosts[vm].node.as_ref().and_then(Node::active_config);
@@ -300,7 +305,7 @@
         self.ask(vm, NodeCall::Submit(submit));
     }
 
-    /// Orders a data hall out of service, or back, at a VM that knows so many orders.
+    /// Orders a data hall out of service or back, based on the state that the VM knows.
     pub(super) fn order_hall(&mut self, vm: &VmName, hall: &str, out: bool) -> CallId {
         let after = self.observed.halls.known(vm).number;
         let order = HallOrder { hall: hall.into(), out, after };
@@ -309,7 +314,7 @@
         self.ask(vm, NodeCall::ChangeHall { order, limit: Duration::from_secs(1) })
     }
 
-    /// Syncs the oldest write of a VM.
+    /// Completes the oldest pending write of a VM.
     fn sync(&mut self, vm: &VmName) {
         let host = self.hosts.get_mut(vm).unwrap();
         let Some((number, persist)) = host.writes.pop_front() else { return };
@@ -317,7 +322,7 @@
         self.handle(vm, Input::Persisted(number));
     }
 
-    /// One step of time: links deliver what they hold, disks sync, nodes tick.
+    /// Advances time by one step: delivers messages, completes writes and ticks nodes.
     pub(super) fn step(&mut self, faults: bool) {
         self.now += STEP_US;
         let links: Vec<Link> = self.links.keys().cloned().collect();
@@ -341,27 +346,27 @@
         }
     }
 
-    /// Lets time pass without mishaps; what is broken stays so.
+    /// Runs without new faults; present ones persist.
     pub(super) fn run(&mut self, steps: usize) {
         for _ in 0..steps {
             self.step(false);
         }
     }
 
-    /// A VM whose replica takes itself for the leader.
+    /// A VM whose replica considers itself the leader.
     pub(super) fn leader(&self) -> Option<VmName> {
         let leads = |node: &Node| node.control.as_ref().is_some_and(ControlReplica::leads);
         let found = self.hosts.iter().find(|(_, h)| h.node.as_ref().is_some_and(leads));
         found.map(|(vm, _)| vm.clone())
     }
 
-    /// The version in force at a VM, or 0.
+    /// Version of the active configuration on a VM, or 0.
     pub(super) fn version_at(&self, vm: &str) -> u64 {
         let node = self.hosts[vm].node.as_ref();
         node.and_then(Node::active_config).map_or(0, |f| f.version)
     }
 
-    /// The state of the control group as a replica sees it.
+    /// Status of the control group according to a replica.
     pub(super) fn control(&self, vm: &VmName) -> ControlStatus {
         let control = self.hosts[vm].node.as_ref().and_then(|n| n.control.as_ref());
         control.unwrap().status(Instant(self.now))
--- a/crates/core/src/node/tests/net/site.rs
+++ b/crates/core/src/node/tests/net/site.rs
@@ -1,4 +1,4 @@
-//! The VMs of a test and what is on each.
+//! VMs of a test.
 
 use std::collections::VecDeque;
 
@@ -8,17 +8,17 @@
     testing::Disk,
 };
 
-/// Which VMs there are.
+/// Names of the VMs of a test.
 #[derive(Debug, Clone)]
 pub(crate) struct Site {
-    /// Control replicas; the first three found the group.
+    /// Control replicas; the first three bootstrap the group.
     pub(crate) replicas: Vec<VmName>,
-    /// Daemons without a disk.
+    /// Daemons without a control replica.
     pub(crate) entries: Vec<VmName>,
 }
 
 impl Site {
-    /// Replicas `vm-1` and so on, followed by entries.
+    /// Names the replicas `vm-1` and so on, followed by the entries.
     pub(crate) fn new(replicas: usize, entries: usize) -> Site {
         let names = |from: usize, to: usize| (from..=to).map(|n| format!("vm-{n}").into());
         Site {
@@ -27,32 +27,32 @@
         }
     }
 
-    /// The replicas that found the group, named to all daemons.
+    /// Replicas that bootstrap the group and that all daemons know.
     pub(crate) fn seeds(&self) -> Vec<VmName> {
         self.replicas.iter().take(3).cloned().collect()
     }
 }
 
-/// A VM with its disk and the daemon on it.
+/// A VM with its disk and its daemon.
 pub(crate) struct Host {
-    /// The daemon's node, while the daemon runs.
+    /// The daemon, while it runs.
     pub(crate) node: Option<Node>,
-    /// What it holds once synced; it outlives the daemon.
+    /// Synced content, which survives restarts.
     pub(super) disk: Disk,
-    /// Writes that were handed out and are not synced.
+    /// Writes that are not synced yet.
     pub(super) writes: VecDeque<(u64, Persist)>,
-    /// Whether the daemon is suspended: it gets no messages and no ticks.
+    /// Whether the daemon is suspended and gets no messages or ticks.
     pub(crate) suspended: bool,
-    /// How many disks were lost before this one.
+    /// Number of disks lost before this one.
     pub(super) incarnation: u64,
     /// Whether it runs a control replica.
     pub(super) replica: bool,
-    /// Whether it was there when the system first started.
+    /// Whether its settings let it bootstrap the group.
     pub(crate) bootstraps: bool,
 }
 
 impl Host {
-    /// A VM with an empty disk whose daemon does not run yet.
+    /// A VM with an empty disk and no running daemon.
     pub(super) fn new(replica: bool, bootstraps: bool) -> Host {
         Host {
             node: None,
--- a/crates/core/src/node/tests/quarantine.rs
+++ b/crates/core/src/node/tests/quarantine.rs
@@ -69,7 +69,7 @@
 }
 
 #[gtest]
-fn an_end_is_known_on_every_daemon_a_moment_after() {
+fn crash_is_known_on_every_daemon() {
     let mut net = configured_net(&small_site(), 1);
 
     crash_endpoint(&mut net, &"vm-4".into(), "e0", None);
@@ -82,7 +82,7 @@
 }
 
 #[gtest]
-fn an_end_that_several_daemons_saw_counts_once() {
+fn crash_reported_by_several_daemons_counts_once() {
     let mut net = configured_net(&small_site(), 2);
 
     for vm in ["vm-4", "vm-5", "vm-1"] {
@@ -95,7 +95,7 @@
 }
 
 #[gtest]
-fn what_is_in_quarantine_stays_there_when_disks_and_all_vms_are_lost() {
+fn quarantine_survives_disk_loss_and_full_restart() {
     let mut net = configured_net(&Site::new(5, 2), 3);
     quarantine_request(&mut net);
 
@@ -112,7 +112,7 @@
 }
 
 #[gtest]
-fn a_try_anywhere_is_told_that_the_request_is_in_quarantine() {
+fn trial_of_quarantined_request_is_denied() {
     let mut net = configured_net(&small_site(), 4);
     quarantine_request(&mut net);
 
@@ -123,7 +123,7 @@
 }
 
 #[gtest]
-fn an_end_that_no_leader_hears_of_is_on_record_once_there_is_one() {
+fn crash_is_recorded_once_a_leader_is_elected() {
     let mut net = configured_net(&small_site(), 5);
     for vm in net.replicas() {
         net.crash(&vm);
@@ -140,7 +140,7 @@
 }
 
 #[gtest]
-fn a_try_without_a_leader_is_told_so_in_its_time() {
+fn trial_request_times_out_without_leader() {
     let mut net = configured_net(&small_site(), 6);
     crash_endpoint(&mut net, &"vm-4".into(), "e0", None);
     net.run(10);
@@ -156,7 +156,7 @@
 }
 
 #[gtest]
-fn a_whole_answer_clears_the_request_everywhere() {
+fn complete_answer_clears_the_request() {
     let mut net = configured_net(&small_site(), 7);
     crash_endpoint(&mut net, &"vm-4".into(), "e0", None);
     net.run(10);
@@ -181,7 +181,7 @@
 }
 
 #[gtest]
-fn an_operator_clears_a_request() {
+fn operator_clears_a_request() {
     let mut net = configured_net(&small_site(), 8);
     quarantine_request(&mut net);
 
@@ -224,7 +224,7 @@
 }
 
 #[gtest]
-fn what_runs_at_an_endpoint_that_said_it_leaves_is_no_suspect() {
+fn leaving_endpoint_is_no_crash() {
     let mut net = configured_net(&small_site(), 9);
     heartbeat(&mut net, "i-1", 1, true);
 
@@ -238,7 +238,7 @@
 }
 
 #[gtest]
-fn an_endpoint_that_goes_on_has_only_failed() {
+fn endpoint_with_heartbeats_is_no_crash() {
     let mut net = configured_net(&small_site(), 10);
     heartbeat(&mut net, "i-1", 1, false);
 
@@ -255,7 +255,7 @@
 }
 
 #[gtest]
-fn an_endpoint_that_falls_silent_has_ended() {
+fn endpoint_without_heartbeats_has_crashed() {
     let mut net = configured_net(&small_site(), 11);
     heartbeat(&mut net, "i-1", 1, false);
 
@@ -277,7 +277,7 @@
     /// Through any mishaps, what was in quarantine is so on every daemon in the calm after, and no try is
     /// let run.
     #[test]
-    fn quarantine_outlives_any_mishaps(seed in any::<u64>()) {
+    fn quarantine_survives_faults(seed in any::<u64>()) {
         let mut net = configured_net(&small_site(), seed);
         quarantine_request(&mut net);
         prop_assert!(is_quarantined_at(&net, &"vm-4".into()));
--- a/crates/core/src/node/tests/rate_limits.rs
+++ b/crates/core/src/node/tests/rate_limits.rs
@@ -159,7 +159,7 @@
 }
 
 #[gtest]
-fn all_daemons_together_send_what_an_endpoint_takes() {
+fn daemons_together_use_the_rate_limit() {
     let callers = play(21, 0, |_| {});
 
     // Two at once, and what it takes; of that nearly all is used.
@@ -168,7 +168,7 @@
 }
 
 #[gtest]
-fn a_daemon_knows_of_a_limit_that_another_has_read() {
+fn rate_limit_spreads_to_all_daemons() {
     let mut net = configured_net(&Site::new(3, 3), 22);
     let asked = net.time();
 
@@ -182,7 +182,7 @@
 }
 
 #[gtest]
-fn a_daemon_knows_when_a_limit_is_lifted() {
+fn removed_rate_limit_spreads_to_all_daemons() {
     let mut net = configured_net(&Site::new(3, 3), 23);
     let asked = net.time();
     net.run(1);
@@ -200,7 +200,7 @@
 }
 
 #[gtest]
-fn a_limit_that_falls_and_rises_is_followed() {
+fn changed_rate_limits_are_followed() {
     let mut net = configured_net(&Site::new(3, 3), 24);
     let mut callers = Callers::new(&net);
     let mut sent = |limit: Option<f64>, steps| {
@@ -222,7 +222,7 @@
 }
 
 #[gtest]
-fn the_loss_of_the_leader_at_any_step_lets_no_more_through() {
+fn leader_crash_keeps_the_rate_limit() {
     for fault_at in (300..420).step_by(3) {
         let callers = play(25, fault_at, |net| {
             let leader = net.leader().unwrap();
@@ -235,7 +235,7 @@
 }
 
 #[gtest]
-fn control_vms_that_nobody_reaches_for_a_while_let_no_more_through() {
+fn control_outage_keeps_the_rate_limit() {
     for fault_at in (300..420).step_by(9) {
         let mut net = configured_net(&Site::new(3, 3), 26);
         let mut callers = Callers::new(&net);
@@ -252,7 +252,7 @@
 }
 
 #[gtest]
-fn a_leader_or_an_entry_that_is_suspended_lets_no_more_through() {
+fn suspended_vm_keeps_the_rate_limit() {
     for fault_at in (300..420).step_by(9) {
         for leads in [false, true] {
             let mut net = configured_net(&Site::new(3, 3), 27);
@@ -271,7 +271,7 @@
 }
 
 #[gtest]
-fn an_entry_that_starts_anew_is_told_before_it_sends_more_than_a_few() {
+fn restarted_entry_learns_the_rate_limit() {
     let mut net = configured_net(&Site::new(3, 3), 28);
     let mut callers = Callers::new(&net);
     callers.play(&mut net, 400);
--- a/crates/core/src/node/tests/recovery.rs
+++ b/crates/core/src/node/tests/recovery.rs
@@ -30,7 +30,7 @@
 fn fleet_with_endpoints(site: &Site) -> Fleet {
     let mut fleet = Fleet::new(site);
     let records: Vec<EndpointRecord> = (0..ENDPOINTS).map(record).collect();
-    fleet.recall(site, &records);
+    fleet.restore_endpoints(site, &records);
     fleet.run(STARTUP);
     let leader = fleet.leader();
     let file = "[deployment]\nname = d\nversion = 1\n[tier t]\nrank = 1\n\
@@ -41,7 +41,7 @@
 }
 
 #[gtest]
-fn hundreds_of_entries_that_start_at_once_serve_within_a_second_and_cost_no_leader_its_lead() {
+fn many_entries_restart_in_time_without_elections() {
     let site = Site::new(CONTROL, ENTRIES);
     let mut fleet = fleet_with_endpoints(&site);
     let terms = fleet.terms.clone();
--- a/crates/core/src/node/tests/slot_leaks.rs
+++ b/crates/core/src/node/tests/slot_leaks.rs
@@ -139,7 +139,7 @@
     #![proptest_config(crate::testing::fixed_seed(150))]
 
     #[test]
-    fn nothing_is_held_for_requests_that_are_gone(seed in any::<u64>(), steps in steps()) {
+    fn ended_requests_hold_no_slots(seed in any::<u64>(), steps in steps()) {
         let mut traffic = Traffic::begin(seed);
         for step in steps {
             traffic.step(step);
@@ -157,7 +157,7 @@
 }
 
 #[gtest]
-fn the_traffic_of_the_property_is_served() {
+fn generated_requests_are_placed() {
     let mut traffic = Traffic::begin(1);
 
     for at in 0..3 {
