--- a/crates/core/src/backoff/retry_after.rs
+++ b/crates/core/src/backoff/retry_after.rs
@@ -35,7 +35,7 @@
     /// The only value among these, if there is any: seconds, fractions included, or an HTTP date (RFC 9110,
     /// section 10.2.3). A date counts from the answer's own `Date`, since the clocks of both sides may differ,
     /// or else from now.
-    pub fn read<'a>(
+    pub fn from_values<'a>(
         mut values: impl Iterator<Item = &'a str>,
         answered: Option<&str>,
         now: SystemTime,
@@ -54,7 +54,7 @@
     }
 
     /// The time itself.
-    pub fn time(self) -> Duration {
+    pub fn duration(self) -> Duration {
         self.0
     }
 }
--- a/crates/core/src/backoff/retry_after_tests.rs
+++ b/crates/core/src/backoff/retry_after_tests.rs
@@ -18,8 +18,8 @@
     answered: Option<&str>,
 ) -> std::result::Result<Option<Duration>, InvalidRetryAfter> {
     let now = SystemTime::UNIX_EPOCH + NOW;
-    let read = RetryAfter::read(values.iter().copied(), answered, now)?;
-    Ok(read.map(RetryAfter::time))
+    let read = RetryAfter::from_values(values.iter().copied(), answered, now)?;
+    Ok(read.map(RetryAfter::duration))
 }
 
 #[gtest]
--- a/crates/core/src/backoff/refusals.rs
+++ b/crates/core/src/backoff/retry_spreader.rs
@@ -21,7 +21,7 @@
 
 impl RetrySpreader {
     /// Counts one more; returns how much later than the first one it may come back to so many endpoints.
-    pub fn add(&mut self, endpoints: usize, now: Instant) -> Duration {
+    pub fn next_delay(&mut self, endpoints: usize, now: Instant) -> Duration {
         let per_second = RETURNS_PER_ENDPOINT * endpoints.max(1) as f64;
         if TOGETHER <= now.since(self.since) {
             *self = RetrySpreader { count: 0, since: now };
@@ -33,7 +33,7 @@
     }
 
     /// Whether the next one is counted anew.
-    pub fn is_over(&self, now: Instant) -> bool {
+    pub fn is_expired(&self, now: Instant) -> bool {
         TOGETHER <= now.since(self.since)
     }
 }
--- a/crates/core/src/backoff/table.rs
+++ b/crates/core/src/backoff/table.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// Like any other.
-    Open,
+    Allowed,
     /// If there is no other: it has asked another daemon to back off.
     LastResort,
     /// Not before one that is on its way is answered.
@@ -101,7 +101,7 @@
     }
 
     /// Forgets a daemon that is gone.
-    pub fn forget_daemon(&mut self, daemon: u64) {
+    pub fn remove_daemon(&mut self, daemon: u64) {
         for known in self.known.values_mut() {
             known.asked.remove(&daemon);
         }
@@ -109,20 +109,20 @@
 
     /// Whether an endpoint may be sent a request of this daemon.
     pub fn admission(&self, endpoint: &str, daemon: u64, now: Instant) -> Admission {
-        let Some(known) = self.known.get(endpoint) else { return Admission::Open };
+        let Some(known) = self.known.get(endpoint) else { return Admission::Allowed };
         match known.asked.get(&daemon) {
             Some(until) if now < *until => Admission::BackedOff(*until),
             _ if !known.circuit.admits(now) => Admission::Busy,
             _ if known.circuit.is_last_resort(now) => Admission::LastResort,
-            _ => Admission::Open,
+            _ => Admission::Allowed,
         }
     }
 
     /// Until when an endpoint wants nothing from this daemon, if that is not over.
-    pub fn backs_off_until(&self, endpoint: &str, daemon: u64, now: Instant) -> Option<Instant> {
+    pub fn backoff_until(&self, endpoint: &str, daemon: u64, now: Instant) -> Option<Instant> {
         match self.admission(endpoint, daemon, now) {
             Admission::BackedOff(until) => Some(until),
-            Admission::Open | Admission::LastResort | Admission::Busy => None,
+            Admission::Allowed | Admission::LastResort | Admission::Busy => None,
         }
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Whether others must be told until when an endpoint is the last resort; they count as told then.
-    pub fn take_news(&mut self, endpoint: &str, now: Instant) -> bool {
+    pub fn take_pending_report(&mut self, endpoint: &str, now: Instant) -> bool {
         let Some(known) = self.known.get_mut(endpoint) else { return false };
         let until = known.circuit.until();
         let is_news = known.told.max(now).after(WORTH_TELLING) <= until;
@@ -149,7 +149,7 @@
     }
 
     /// The endpoints that want nothing from this daemon now, as they would have to be told of.
-    pub fn asked(&self, daemon: u64, now: Instant) -> impl Iterator<Item = Rejection> {
+    pub fn active_backoffs(&self, daemon: u64, now: Instant) -> impl Iterator<Item = Rejection> {
         self.known.iter().filter_map(move |(endpoint, known)| {
             let until = known.asked.get(&daemon).filter(|until| now < **until)?;
             let (endpoint, retry_after) = (endpoint.clone(), Some(until.since(now)));
--- a/crates/core/src/backoff/table_tests.rs
+++ b/crates/core/src/backoff/table_tests.rs
@@ -33,8 +33,8 @@
 
     expect_that!(table.admission("e", D1, ms(2_999)), eq(Admission::BackedOff(ms(3_000))));
     expect_that!(table.admission("e", D2, ms(2_999)), eq(Admission::LastResort));
-    expect_that!(table.admission("e", D1, ms(3_000)), eq(Admission::Open));
-    expect_that!(table.admission("other", D1, ms(0)), eq(Admission::Open));
+    expect_that!(table.admission("e", D1, ms(3_000)), eq(Admission::Allowed));
+    expect_that!(table.admission("other", D1, ms(0)), eq(Admission::Allowed));
 }
 
 #[gtest]
@@ -42,14 +42,14 @@
     let table = rejected(D1, None);
 
     expect_that!(table.admission("e", D1, ms(10)), eq(Admission::LastResort));
-    expect_that!(table.admission("e", D1, ms(300)), eq(Admission::Open));
+    expect_that!(table.admission("e", D1, ms(300)), eq(Admission::Allowed));
 }
 
 #[gtest]
 fn zero_seconds_ask_for_nothing() {
     let table = rejected(D1, Some(0));
 
-    expect_that!(table.admission("e", D1, ms(0)), eq(Admission::Open));
+    expect_that!(table.admission("e", D1, ms(0)), eq(Admission::Allowed));
 }
 
 #[gtest]
@@ -58,7 +58,7 @@
 
     table.on_rejection(D1, &rejection(RUN, Some(100)), ms(10));
 
-    expect_that!(table.backs_off_until("e", D1, ms(500)), some(eq(ms(3_000))));
+    expect_that!(table.backoff_until("e", D1, ms(500)), some(eq(ms(3_000))));
 }
 
 #[gtest]
@@ -68,7 +68,7 @@
 
     table.on_end("e", ms(1), true, ms(2));
 
-    expect_that!(table.backs_off_until("e", D1, ms(500)), some(eq(ms(3_000))));
+    expect_that!(table.backoff_until("e", D1, ms(500)), some(eq(ms(3_000))));
 }
 
 #[gtest]
@@ -78,7 +78,7 @@
     table.on_rejection(D2, &rejection(RUN + 1, None), ms(10));
     table.on_rejection(D1, &rejection(RUN, Some(9_000)), ms(20));
 
-    expect_that!(table.backs_off_until("e", D1, ms(30)), none());
+    expect_that!(table.backoff_until("e", D1, ms(30)), none());
 }
 
 #[gtest]
@@ -87,21 +87,21 @@
     let mut of_daemon = rejected(D1, Some(3_000));
 
     of_run.retain(|endpoint, started_at| (endpoint, started_at) != ("e", RUN), ms(10));
-    of_daemon.forget_daemon(D1);
+    of_daemon.remove_daemon(D1);
 
-    expect_that!(of_run.admission("e", D1, ms(10)), eq(Admission::Open));
+    expect_that!(of_run.admission("e", D1, ms(10)), eq(Admission::Allowed));
     expect_that!(of_daemon.admission("e", D1, ms(10)), eq(Admission::LastResort));
 }
 
 #[gtest]
 fn others_are_told_once_and_of_what_lasts() {
     let mut table = rejected(D1, Some(3_000));
-    let first = table.take_news("e", ms(0));
+    let first = table.take_pending_report("e", ms(0));
     table.on_rejection(D2, &rejection(RUN, Some(3_000)), ms(100));
-    let little_more = table.take_news("e", ms(100));
+    let little_more = table.take_pending_report("e", ms(100));
     table.on_rejection(D2, &rejection(RUN, Some(3_000)), ms(700));
-    let much_more = table.take_news("e", ms(700));
-    let short = rejected(D1, None).take_news("e", ms(0));
+    let much_more = table.take_pending_report("e", ms(700));
+    let short = rejected(D1, None).take_pending_report("e", ms(0));
 
     expect_that!([first, little_more, much_more, short], eq([true, false, true, false]));
 }
@@ -113,7 +113,7 @@
     table.on_report(&"e".into(), RUN, Duration::from_secs(3), ms(0));
 
     expect_that!(table.admission("e", D1, ms(2_999)), eq(Admission::LastResort));
-    expect_that!(table.admission("e", D1, ms(3_000)), eq(Admission::Open));
+    expect_that!(table.admission("e", D1, ms(3_000)), eq(Admission::Allowed));
 }
 
 #[gtest]
@@ -172,7 +172,7 @@
             for daemon in 0..4 {
                 let of_daemon = asked.iter().filter(|(of, until)| *of == daemon && ms(now) < *until);
                 let until = of_daemon.map(|(_, until)| *until).max();
-                prop_assert_eq!(table.backs_off_until("e", daemon, ms(now)), until);
+                prop_assert_eq!(table.backoff_until("e", daemon, ms(now)), until);
             }
         }
     }
--- a/crates/core/src/node/dispatcher.rs
+++ b/crates/core/src/node/dispatcher.rs
@@ -237,7 +237,7 @@
         let daemon = self.daemon_number(from);
         self.scheduler.on_rejection(daemon, &rejection, now);
         let must_broadcast = self.scheduler.shares_backoffs()
-            && self.scheduler.backoffs.take_news(&rejection.endpoint, now);
+            && self.scheduler.backoffs.take_pending_report(&rejection.endpoint, now);
         if must_broadcast {
             self.overloaded.add(&rejection.endpoint, now);
         }
--- a/crates/core/src/node/endpoint_sync.rs
+++ b/crates/core/src/node/endpoint_sync.rs
@@ -13,7 +13,7 @@
 
 use super::{ByVm, Outbox, VmName};
 use crate::{
-    registry::Digest,
+    registry::RegistryDigest,
     units::Instant,
     wire::{Body, EndpointsWanted},
 };
@@ -40,7 +40,7 @@
 #[derive(Debug, Default)]
 pub(super) struct EndpointSync {
     /// Digest of each control VM when its link came up.
-    digests: ByVm<Digest>,
+    digests: ByVm<RegistryDigest>,
     /// Control VMs whose digest was not compared yet.
     uncompared: BTreeSet<VmName>,
     fetch: Option<PartFetch>,
@@ -54,7 +54,7 @@
 
 impl EndpointSync {
     /// Stores the digest of a control VM.
-    pub(super) fn on_digest(&mut self, vm: &VmName, digest: Digest, now: Instant) {
+    pub(super) fn on_digest(&mut self, vm: &VmName, digest: RegistryDigest, now: Instant) {
         self.digests.insert(vm.clone(), digest);
         self.uncompared.insert(vm.clone());
         if self.fetch.is_none() {
@@ -97,7 +97,7 @@
     pub(super) fn tick(
         &mut self,
         own_vm: &VmName,
-        digest: impl FnOnce() -> Digest,
+        digest: impl FnOnce() -> RegistryDigest,
         now: Instant,
         out: &mut Outbox,
     ) {
@@ -120,7 +120,7 @@
         let mut candidates = candidates.into_iter();
         for vm in candidates.by_ref() {
             let Some(theirs) = self.digests.get(&vm) else { continue };
-            let remaining: VecDeque<usize> = theirs.differs_in(&digest).collect();
+            let remaining: VecDeque<usize> = theirs.differing_buckets(&digest).collect();
             if remaining.is_empty() {
                 continue;
             }
@@ -138,7 +138,7 @@
     pub(super) fn take_parts_unknown_to(
         &mut self,
         leader: &VmName,
-        digest: impl FnOnce() -> Digest,
+        digest: impl FnOnce() -> RegistryDigest,
     ) -> Vec<usize> {
         let is_done = self.fetch.is_none() && self.next_choice.is_none();
         let Some(known) =
@@ -146,7 +146,7 @@
         else {
             return Vec::new();
         };
-        let differing: BTreeSet<usize> = known.differs_in(&digest()).collect();
+        let differing: BTreeSet<usize> = known.differing_buckets(&digest()).collect();
         let updated = std::mem::take(&mut self.updated_parts);
         updated.intersection(&differing).copied().collect()
     }
--- a/crates/core/src/node/endpoints.rs
+++ b/crates/core/src/node/endpoints.rs
@@ -47,7 +47,7 @@
         if self.conflicts_with_known(&record) {
             return;
         }
-        match self.registry.take(record.clone(), now) {
+        match self.registry.apply(record.clone(), now) {
             Some(new) => self.broadcast_record(new, now),
             None => self.heartbeats.add(record, now.after(HEARTBEAT_DELAY)),
         }
@@ -65,7 +65,7 @@
 
     /// Handles an endpoint's announcement that it will exit.
     pub(super) fn on_deregistration(&mut self, id: &str, now: Instant) {
-        if let Some(record) = self.registry.leave(id, 0, now) {
+        if let Some(record) = self.registry.mark_leaving(id, 0, now) {
             self.broadcast_record(record, now);
         }
     }
@@ -73,10 +73,10 @@
     /// Handles a response in which an endpoint announces that it will exit. It comes from the endpoint
     /// itself, so it overrides what control VMs report of this run.
     pub(super) fn on_endpoint_leaving(&mut self, endpoint: &str, started_at: u64, now: Instant) {
-        if !self.registry.knows_run(endpoint, started_at) {
+        if !self.registry.is_current_run(endpoint, started_at) {
             return;
         }
-        if let Some(record) = self.registry.leave(endpoint, started_at, now) {
+        if let Some(record) = self.registry.mark_leaving(endpoint, started_at, now) {
             self.next_publish = now;
             self.broadcast_record(record, now);
         }
@@ -84,7 +84,7 @@
 
     /// Broadcasts the endpoints whose heartbeats have stopped.
     pub(super) fn broadcast_silent_endpoints(&mut self, now: Instant) {
-        for record in self.registry.find_silent(now) {
+        for record in self.registry.detect_silent(now) {
             self.broadcast_record(record, now);
         }
     }
@@ -101,7 +101,7 @@
                 self.leader_updates.remove_known(&record);
             }
             let received = Instant(now.0.saturating_sub(age_ms.saturating_mul(1_000)));
-            let Some(new) = self.registry.take_heard(record, received, now) else { continue };
+            let Some(new) = self.registry.apply_heard_at(record, received, now) else { continue };
             if self.control.is_some() {
                 let pause = RELAY_DELAY + scaled(RELAY_DELAY_PER_DAEMON, self.links.len());
                 self.relayed_updates.add(new, now.after(pause));
@@ -124,7 +124,7 @@
         now: Instant,
     ) {
         let age_ms = |heard: Instant| now.since(heard).as_millis() as u64;
-        let records = self.registry.part(request.part as usize).iter();
+        let records = self.registry.bucket(request.part as usize).iter();
         let (records, ages_ms) =
             records.map(|(record, heard)| (record.clone(), age_ms(*heard))).unzip();
         let news = EndpointNews { records, ages_ms, part: Some(request.part) };
@@ -137,7 +137,7 @@
         let Some(leader) = self.client.leader().filter(|_| self.control.is_none()) else { return };
         let unknown = self.endpoint_sync.take_parts_unknown_to(leader, || self.registry.digest());
         for part in unknown {
-            for (record, _) in self.registry.part(part) {
+            for (record, _) in self.registry.bucket(part) {
                 self.leader_updates.add(record.clone(), now.after(LEADER_DELAY));
             }
         }
@@ -204,7 +204,7 @@
     pub(super) fn on_halls_restored(&mut self, halls: &[String], now: Instant) {
         let Some(active_config) = self.client.active_config() else { return };
         for hall in halls {
-            self.registry.hall_back(hall, &active_config.config, now);
+            self.registry.on_hall_restored(hall, &active_config.config, now);
         }
     }
 
@@ -240,7 +240,7 @@
         }
         let registry = &self.registry;
         let is_known = |endpoint: &str, started_at| {
-            registry.knows_run(endpoint, started_at)
+            registry.is_current_run(endpoint, started_at)
                 || active_config.config.endpoints.contains_key(endpoint)
         };
         self.placement.retain_runs(is_known, now);
--- a/crates/core/src/node/engines.rs
+++ b/crates/core/src/node/engines.rs
@@ -33,8 +33,8 @@
     pub(crate) fn new(registry: &Registry, config: &Config, halls_out: &HallsOut) -> Engines {
         let registered = registry.engines(config);
         let draining =
-            registry.closed().filter(|id| registered.contains_key(&***id)).cloned().collect();
-        let cold = registry.cold().filter(|(id, _)| registered.contains_key(&***id));
+            registry.unavailable().filter(|id| registered.contains_key(&***id)).cloned().collect();
+        let cold = registry.cold_endpoints().filter(|(id, _)| registered.contains_key(&***id));
         let cold = cold.map(|(id, until)| (id.clone(), until)).collect();
         Engines {
             cold,
--- a/crates/core/src/node/inputs.rs
+++ b/crates/core/src/node/inputs.rs
@@ -11,7 +11,7 @@
 use crate::{
     mechanism::Mechanism,
     quarantine::ClearRequest,
-    registry::Digest,
+    registry::RegistryDigest,
     throttle::PermitRequest,
     wire::{Body, EndpointDigest, LimitWord, OperationKind, OperationResult},
 };
@@ -68,12 +68,12 @@
                 self.on_endpoint_leaving(&endpoint, started_at, clocks.now);
             }
             Input::Cold { endpoint, started_at, left } => {
-                self.registry.cool(&endpoint, started_at, clocks.now.after(left));
+                self.registry.mark_cold(&endpoint, started_at, clocks.now.after(left));
             }
             Input::Heartbeat(record) => self.on_heartbeat(record, clocks.now),
             Input::RestoreEndpoints(records) => {
                 if self.disabled.allows(Mechanism::RecalledEndpoints) {
-                    self.registry.recall(records, clocks.now);
+                    self.registry.restore(records, clocks.now);
                 }
             }
             Input::EndpointDeregistered(id) => self.on_deregistration(&id, clocks.now),
@@ -129,7 +129,7 @@
             }
             NodeCall::Permit(req) => {
                 let (permits, mut cx, out) = self.permits_context(clocks.now);
-                permits.request(PermitRequest { asker: call, ..req }, &mut cx, out);
+                permits.request(PermitRequest { requester: call, ..req }, &mut cx, out);
             }
             NodeCall::ClearSuspect { request, limit } => {
                 let request = Bytes::copy_from_slice(request.as_bytes());
@@ -206,7 +206,7 @@
             Body::EndpointDigest(EndpointDigest { sums }) => {
                 // A release with other parts sends a digest that cannot be compared; changes still
                 // arrive as news.
-                if let Some(digest) = Digest::read(sums) {
+                if let Some(digest) = RegistryDigest::from_sums(sums) {
                     self.endpoint_sync.on_digest(from, digest, clocks.now);
                 }
             }
--- a/crates/core/src/node/permit_allocator.rs
+++ b/crates/core/src/node/permit_allocator.rs
@@ -30,7 +30,7 @@
         now: Instant,
     ) {
         let endpoint = report.endpoint.clone();
-        if throttle.learn(report, now) != LimitChange::None {
+        if throttle.on_report(report, now) != LimitChange::None {
             self.broadcast.add(&endpoint, now);
         }
     }
@@ -58,15 +58,15 @@
     ) {
         let (req, reports) = decode(from, req, now);
         reports.into_iter().for_each(|report| self.apply_report(report, throttle, now));
-        let asker = req.asker.clone();
-        if let Some(permit) = self.queue.ask(req, throttle, now) {
+        let asker = req.requester.clone();
+        if let Some(permit) = self.queue.request(req, throttle, now) {
             reply(&asker, permit, out);
         }
     }
 
     /// Drops the waiting requests of a lost daemon.
     pub(super) fn remove_daemon(&mut self, vm: &VmName) {
-        self.queue.forget(|(asker, _)| asker == vm);
+        self.queue.cancel(|(asker, _)| asker == vm);
     }
 
     pub(super) fn next_tick(&self) -> Option<Instant> {
@@ -101,7 +101,7 @@
             return;
         }
         let reports =
-            due.iter().filter_map(|name| Some(LimitWord::encode(throttle.word(name)?, now)));
+            due.iter().filter_map(|name| Some(LimitWord::encode(throttle.report(name)?, now)));
         let news = LimitNews { words: reports.collect() };
         for vm in daemons {
             out.send(vm, Body::Limits(news.clone()));
@@ -110,13 +110,13 @@
 
     /// The next few rate limits, in rotation.
     pub(super) fn next_limits(&mut self, throttle: &Throttle, now: Instant) -> Vec<LimitWord> {
-        let count = throttle.count();
+        let count = throttle.limited_endpoints();
         if count == 0 {
             return Vec::new();
         }
         let first = self.next_repeated % count;
         self.next_repeated = self.next_repeated.wrapping_add(LIMITS_PER_POLL_REPLY);
-        let reports = throttle.words().skip(first).take(LIMITS_PER_POLL_REPLY);
+        let reports = throttle.reports().skip(first).take(LIMITS_PER_POLL_REPLY);
         reports.map(|report| LimitWord::encode(report, now)).collect()
     }
 }
--- a/crates/core/src/node/permit_client.rs
+++ b/crates/core/src/node/permit_client.rs
@@ -53,7 +53,7 @@
         if apply_report(report, cx, out) == LimitChange::None {
             return;
         }
-        if let (Some(scheduler), Some(report)) = (cx.scheduler, cx.throttle.word(&endpoint)) {
+        if let (Some(scheduler), Some(report)) = (cx.scheduler, cx.throttle.report(&endpoint)) {
             let reports = vec![LimitWord::encode(report, cx.now)];
             out.send(&scheduler.vm, Body::LimitsRead(LimitNews { words: reports }));
         }
@@ -82,7 +82,7 @@
         let Some(scheduler) = cx.scheduler else { return self.request_locally(req, cx, out) };
         out.send(&scheduler.vm, encode(&req, cx));
         let deadline = cx.now.after(req.max_wait + LEADER_TIMEOUT);
-        self.pending.insert(req.asker, PendingRequest { req, deadline });
+        self.pending.insert(req.requester, PendingRequest { req, deadline });
     }
 
     fn request_locally(
@@ -91,8 +91,8 @@
         cx: &mut Context<'_>,
         out: &mut Outbox,
     ) {
-        let call = req.asker;
-        if let Some(permit) = self.local.ask(req, cx.throttle, cx.now) {
+        let call = req.requester;
+        if let Some(permit) = self.local.request(req, cx.throttle, cx.now) {
             out.reply(call, NodeReply::Permit(permit));
         }
     }
@@ -106,7 +106,7 @@
         let permit = match reply.endpoint {
             Some(endpoint) => {
                 // Counts against this daemon's share if it has to grant permits locally next.
-                cx.throttle.sent(&endpoint, cx.now);
+                cx.throttle.on_sent(&endpoint, cx.now);
                 Permit::Granted(endpoint.into())
             }
             None => Permit::Denied { retry_after: Duration::from_millis(reply.retry_after_ms) },
@@ -117,7 +117,7 @@
     /// Sends a new leader the known rate limits and the requests that wait.
     pub(super) fn on_scheduler_change(&mut self, cx: &mut Context<'_>, out: &mut Outbox) {
         let Some(scheduler) = cx.scheduler else { return };
-        let reports = cx.throttle.words().take(MAX_LIMITS_SENT);
+        let reports = cx.throttle.reports().take(MAX_LIMITS_SENT);
         let reports: Vec<LimitWord> =
             reports.map(|report| LimitWord::encode(report, cx.now)).collect();
         if !reports.is_empty() {
@@ -126,7 +126,7 @@
         for PendingRequest { req, .. } in self.pending.values() {
             out.send(&scheduler.vm, encode(req, cx));
         }
-        for req in self.local.take_waiting() {
+        for req in self.local.drain_waiting() {
             self.request(req, cx, out);
         }
     }
@@ -161,18 +161,18 @@
 /// Applies a report to the daemon's table and publishes the change.
 fn apply_report(report: RateLimitReport, cx: &mut Context<'_>, out: &mut Outbox) -> LimitChange {
     let endpoint = report.endpoint.clone();
-    let change = cx.throttle.learn(report, cx.now);
+    let change = cx.throttle.on_report(report, cx.now);
     if change != LimitChange::None {
-        let (limit, limited) = (cx.throttle.limit(&endpoint), cx.throttle.count());
+        let (limit, limited) = (cx.throttle.limit(&endpoint), cx.throttle.limited_endpoints());
         out.push(Output::Limit { endpoint, limit, change, limited });
     }
     change
 }
 
 fn encode(req: &PermitRequest<CallId>, cx: &Context<'_>) -> Body {
-    let reports = req.endpoints.iter().filter_map(|name| cx.throttle.word(name));
+    let reports = req.endpoints.iter().filter_map(|name| cx.throttle.report(name));
     Body::PermitQuery(PermitQuery {
-        number: req.asker.0,
+        number: req.requester.0,
         service: req.service.to_string(),
         endpoints: reports.map(|report| LimitWord::encode(report, cx.now)).collect(),
         max_wait_ms: req.max_wait.as_millis() as u64,
@@ -190,5 +190,5 @@
         req.endpoints.into_iter().filter_map(|report| report.decode(now)).collect();
     let endpoints: Vec<Arc<str>> = reports.iter().map(|report| report.endpoint.clone()).collect();
     let asker = (from.clone(), req.number);
-    (PermitRequest { asker, service: req.service.into(), endpoints, max_wait }, reports)
+    (PermitRequest { requester: asker, service: req.service.into(), endpoints, max_wait }, reports)
 }
--- a/crates/core/src/node/placement_client/backoff.rs
+++ b/crates/core/src/node/placement_client/backoff.rs
@@ -27,7 +27,7 @@
             out.send(&scheduler.vm, Body::Rejected(Rejected::encode(rejection)));
         }
         let endpoint = &rejection.endpoint;
-        if self.local.backoffs.backs_off_until(endpoint, LOCAL_DAEMON, now).is_none() {
+        if self.local.backoffs.backoff_until(endpoint, LOCAL_DAEMON, now).is_none() {
             return;
         }
         self.next_backoff_expiry = self.earliest_backoff_expiry(now);
@@ -46,7 +46,9 @@
 
     /// Sends a new leader the active backoffs of this daemon.
     pub(super) fn send_backoffs(&self, scheduler: &VmName, now: Instant, out: &mut Outbox) {
-        for rejection in self.local.backoffs.asked(LOCAL_DAEMON, now).take(MAX_BACKOFFS_SENT) {
+        for rejection in
+            self.local.backoffs.active_backoffs(LOCAL_DAEMON, now).take(MAX_BACKOFFS_SENT)
+        {
             out.send(scheduler, Body::Rejected(Rejected::encode(&rejection)));
         }
     }
@@ -63,7 +65,7 @@
         }
         let backoffs = &self.local.backoffs;
         let is_expired =
-            |name: &Arc<str>| backoffs.backs_off_until(name, LOCAL_DAEMON, now).is_none();
+            |name: &Arc<str>| backoffs.backoff_until(name, LOCAL_DAEMON, now).is_none();
         let expired: Vec<Arc<str>> =
             self.backing_off.iter().filter(|name| is_expired(name)).cloned().collect();
         for endpoint in expired {
@@ -75,7 +77,7 @@
 
     fn publish_backoff(&self, endpoint: &Arc<str>, now: Instant, out: &mut Outbox) {
         let backoffs = &self.local.backoffs;
-        let until = backoffs.backs_off_until(endpoint, LOCAL_DAEMON, now);
+        let until = backoffs.backoff_until(endpoint, LOCAL_DAEMON, now);
         out.push(Output::Backoff {
             endpoint: endpoint.clone(),
             left: until.map(|until| until.since(now)),
@@ -84,7 +86,7 @@
     }
 
     fn earliest_backoff_expiry(&self, now: Instant) -> Option<Instant> {
-        let asked = self.local.backoffs.asked(LOCAL_DAEMON, now);
+        let asked = self.local.backoffs.active_backoffs(LOCAL_DAEMON, now);
         asked.filter_map(|rejection| Some(now.after(rejection.retry_after?))).min()
     }
 }
--- a/crates/core/src/node/placement_client/mod.rs
+++ b/crates/core/src/node/placement_client/mod.rs
@@ -157,7 +157,7 @@
         self.local.on_relocated(ticket(call), at, done, now);
         if done && self.scheduler.is_none() {
             // It moved to the other sampled endpoint, whose rate limit must count it.
-            self.local.throttle.sent(at, now);
+            self.local.throttle.on_sent(at, now);
         }
         if let Some(scheduler) = &self.scheduler {
             let moved = Moved { number: call.0, at: at.to_string(), done };
--- a/crates/core/src/node/suspect_tracker.rs
+++ b/crates/core/src/node/suspect_tracker.rs
@@ -152,13 +152,13 @@
     ) {
         match (attempt.run_state(cx.registry), attempt.probe) {
             // A leaving endpoint may exit while requests still run on it.
-            (Some(RunState::Left), _) => {}
-            (_, ProbeOutcome::ConnectionRefused) | (Some(RunState::Ended), _) => {
+            (Some(RunState::Departed), _) => {}
+            (_, ProbeOutcome::ConnectionRefused) | (Some(RunState::Crashed), _) => {
                 self.report_crash(&attempt, cx, out);
             }
             // The endpoint sends no heartbeats, so the registry cannot tell.
             (None, _) => {}
-            (Some(RunState::Runs), _) => {
+            (Some(RunState::Running), _) => {
                 let deadline = cx.now.after(cx.registry.heartbeat() * AMBIGUOUS_TIMEOUT_HEARTBEATS);
                 if MAX_AMBIGUOUS <= self.ambiguous.len() {
                     self.ambiguous.remove(0);
@@ -343,9 +343,11 @@
         let ambiguous = std::mem::take(&mut self.ambiguous);
         for failure in ambiguous {
             match failure.attempt.run_state(cx.registry) {
-                Some(RunState::Ended) => self.report_crash(&failure.attempt, cx, out),
-                Some(RunState::Runs) if cx.now < failure.deadline => self.ambiguous.push(failure),
-                Some(RunState::Runs | RunState::Left) | None => {}
+                Some(RunState::Crashed) => self.report_crash(&failure.attempt, cx, out),
+                Some(RunState::Running) if cx.now < failure.deadline => {
+                    self.ambiguous.push(failure)
+                }
+                Some(RunState::Running | RunState::Departed) | None => {}
             }
         }
     }
--- a/crates/core/src/node/tests/leaving_response.rs
+++ b/crates/core/src/node/tests/leaving_response.rs
@@ -36,7 +36,7 @@
 
 fn accepts_requests(net: &Net, vm: &VmName) -> bool {
     let registry = &net.hosts[vm].node.as_ref().unwrap().registry;
-    registry.closed().all(|closed| **closed != *ENDPOINT)
+    registry.unavailable().all(|closed| **closed != *ENDPOINT)
 }
 
 /// A net whose daemons all know the endpoint.
--- a/crates/core/src/node/tests/rate_limits.rs
+++ b/crates/core/src/node/tests/rate_limits.rs
@@ -84,7 +84,7 @@
             return self.send(net, vm);
         }
         let endpoints = vec![ENDPOINT.into()];
-        let ask = PermitRequest { asker: CallId(0), service: "s".into(), endpoints, max_wait };
+        let ask = PermitRequest { requester: CallId(0), service: "s".into(), endpoints, max_wait };
         let call = net.ask(vm, NodeCall::Permit(ask));
         self.asked.push((vm.clone(), call));
     }
@@ -131,8 +131,13 @@
 /// A daemon reads an answer of the endpoint.
 fn read(net: &mut Net, vm: &VmName, asked: Instant, limit: Option<f64>) {
     let limit = limit.map(|per_second| RateLimit::new(per_second).unwrap());
-    let word =
-        RateLimitReport { endpoint: ENDPOINT.into(), born: 0, limit, asked, read: net.time() };
+    let word = RateLimitReport {
+        endpoint: ENDPOINT.into(),
+        started_at: 0,
+        limit,
+        sent_at: asked,
+        received_at: net.time(),
+    };
     net.handle(vm, Input::RateLimitReported(word));
 }
 
--- a/crates/core/src/placement/accounting.rs
+++ b/crates/core/src/placement/accounting.rs
@@ -125,7 +125,7 @@
 
     /// Removes all requests of a disconnected entry daemon.
     pub fn forget_entry(&mut self, entry: u64, now: Instant) {
-        self.backoffs.forget_daemon(entry);
+        self.backoffs.remove_daemon(entry);
         let queued = self.queued.keys().filter(|t| t.entry == entry);
         let placed = self.placed.keys().filter(|t| t.entry == entry);
         let tickets: Vec<Ticket> = queued.chain(placed).copied().collect();
@@ -204,7 +204,7 @@
             state.record_prefix(req.prefix, now);
             state.on_sent(self.sender_role, now);
         }
-        self.throttle.sent(endpoint, now);
+        self.throttle.on_sent(endpoint, now);
         self.backoffs.on_sent(endpoint, now);
         self.account_placed(req, endpoint, now);
     }
--- a/crates/core/src/placement/backoff.rs
+++ b/crates/core/src/placement/backoff.rs
@@ -46,12 +46,12 @@
             AdmissionGroups { open: Vec::new(), last_resort: Vec::new(), avoided: Vec::new() };
         for endpoint in endpoints {
             let group = match admission(endpoint) {
-                Some(Admission::Open | Admission::LastResort)
+                Some(Admission::Allowed | Admission::LastResort)
                     if req.avoid.contains(&endpoint.name) =>
                 {
                     &mut groups.avoided
                 }
-                Some(Admission::Open) => &mut groups.open,
+                Some(Admission::Allowed) => &mut groups.open,
                 Some(Admission::LastResort) => &mut groups.last_resort,
                 Some(Admission::Busy | Admission::BackedOff(_)) | None => continue,
             };
@@ -87,7 +87,7 @@
 
     /// Discards rate limits and back-offs reported by endpoint runs that no longer exist.
     pub(crate) fn retain_runs(&mut self, is_current: impl Fn(&str, u64) -> bool, now: Instant) {
-        self.throttle.retain(|word| is_current(&word.endpoint, word.born), now);
+        self.throttle.retain(|word| is_current(&word.endpoint, word.started_at), now);
         self.backoffs.retain(is_current, now);
     }
 
@@ -107,7 +107,7 @@
     fn admission_of(&self, endpoint: &str, daemon: u64, now: Instant) -> Admission {
         let admission = self.backoffs.admission(endpoint, daemon, now);
         let own_backoff = matches!(admission, Admission::BackedOff(_));
-        if own_backoff || self.shares_backoffs() { admission } else { Admission::Open }
+        if own_backoff || self.shares_backoffs() { admission } else { Admission::Allowed }
     }
 
     /// Like [`Scheduler::admission`], for requests that this daemon sends itself.
@@ -126,7 +126,7 @@
         let (mut earliest, mut any_backed_off) = (None::<Instant>, false);
         for endpoint in usable.filter(|endpoint| endpoint.is_usable(now)) {
             let until = match self.admission_of(&endpoint.name, req.ticket.entry, now) {
-                Admission::Open | Admission::LastResort => return None,
+                Admission::Allowed | Admission::LastResort => return None,
                 Admission::Busy => now.after(RECHECK_INTERVAL),
                 Admission::BackedOff(until) => {
                     any_backed_off = true;
@@ -193,7 +193,7 @@
         now: Instant,
     ) -> RequestError {
         let endpoints = self.targets.get(target).map_or(0, |target| target.endpoints.len());
-        let wait: Duration = until.since(now) + self.retry_spreader.add(endpoints, now);
+        let wait: Duration = until.since(now) + self.retry_spreader.next_delay(endpoints, now);
         let message = format!(
             "all endpoints of {} have asked this daemon to back off; retry after {} ms",
             target.name(),
--- a/crates/core/src/placement/endpoint_updates.rs
+++ b/crates/core/src/placement/endpoint_updates.rs
@@ -87,7 +87,7 @@
     /// Sets this scheduler's role for sharing cold-start and rate limits.
     pub fn set_sender_role(&mut self, role: SenderRole, now: Instant) {
         self.sender_role = role;
-        self.throttle.set_senders(role, now);
+        self.throttle.set_sender_role(role, now);
     }
 
     /// Marks an endpoint as cold from `since` until `until`.
--- a/crates/core/src/placement/evacuation.rs
+++ b/crates/core/src/placement/evacuation.rs
@@ -175,7 +175,7 @@
         if let Some(state) = self.endpoints.get_mut(to) {
             state.on_sent(self.sender_role, now);
         }
-        self.throttle.sent(to, now);
+        self.throttle.on_sent(to, now);
         let deadline = now.after(MOVE_TIMEOUT);
         self.moves
             .active
@@ -237,7 +237,7 @@
             .values()
             .filter(|state| {
                 state.spec.target == req.target
-                    && self.admission(state, ticket.entry, now) == Some(Admission::Open)
+                    && self.admission(state, ticket.entry, now) == Some(Admission::Allowed)
                     && !self.moves.is_busy(&state.name)
             })
             .collect();
--- a/crates/core/src/placement/handover.rs
+++ b/crates/core/src/placement/handover.rs
@@ -73,7 +73,7 @@
         let is_eligible = |state: &&EndpointState| {
             state.spec.hall == source.spec.hall
                 && state.name != source.name
-                && self.admission(state, ticket.entry, now) == Some(Admission::Open)
+                && self.admission(state, ticket.entry, now) == Some(Admission::Allowed)
         };
         let all = target.endpoints.iter().filter_map(|name| self.endpoints.get(name));
         let near: Vec<&EndpointState> = all.filter(is_eligible).collect();
--- a/crates/core/src/placement/isolation.rs
+++ b/crates/core/src/placement/isolation.rs
@@ -76,10 +76,10 @@
         let target = self.targets.get(&waiting.req.target)?;
         let states = target.endpoints.iter().filter_map(|name| self.endpoints.get(name));
         let usable: Vec<&EndpointState> = states
-            .filter(|state| state.is_usable(now) && self.throttle.takes(&state.name, now))
+            .filter(|state| state.is_usable(now) && self.throttle.may_send(&state.name, now))
             .filter(|state| {
                 let daemon = waiting.req.ticket.entry;
-                self.backoffs.backs_off_until(&state.name, daemon, now).is_none()
+                self.backoffs.backoff_until(&state.name, daemon, now).is_none()
             })
             .collect();
         let reserved = self.isolated.reservations.get(&ticket);
--- a/crates/core/src/placement/scheduler.rs
+++ b/crates/core/src/placement/scheduler.rs
@@ -326,7 +326,7 @@
 
     /// Whether an endpoint may be sent a request now, not considering rejections.
     pub(super) fn may_send(&self, endpoint: &EndpointState, now: Instant) -> bool {
-        endpoint.is_available(now) && self.throttle.takes(&endpoint.name, now)
+        endpoint.is_available(now) && self.throttle.may_send(&endpoint.name, now)
     }
 
     /// Time at which the next rate-limited endpoint accepts a request, if any request is queued.
@@ -334,9 +334,9 @@
         if self.queued.is_empty() || self.throttle.is_empty() {
             return None;
         }
-        let limited = self.throttle.words().map(|word| &word.endpoint);
+        let limited = self.throttle.reports().map(|word| &word.endpoint);
         let limited = limited.filter(|name| self.endpoints.contains_key(*name));
-        let slots = limited.map(|name| self.throttle.next(name, self.last_decision));
+        let slots = limited.map(|name| self.throttle.next_send_at(name, self.last_decision));
         slots.filter(|at| self.last_decision < *at).min()
     }
 
--- a/crates/core/src/registry/address_tests.rs
+++ b/crates/core/src/registry/address_tests.rs
@@ -12,10 +12,10 @@
 #[gtest]
 fn a_late_heartbeat_of_a_former_run_takes_no_address_from_the_run_that_is_there() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(record("new", 3, false), seconds(5));
+    registry.apply(record("new", 3, false), seconds(5));
 
     // The former run was known elsewhere only; a cut has held its heartbeat up.
-    let news = registry.take(record("former", 17, false), seconds(6));
+    let news = registry.apply(record("former", 17, false), seconds(6));
 
     expect_that!(news, none());
     expect_that!(open_endpoints(&registry), elements_are![eq("new")]);
@@ -24,12 +24,12 @@
 #[gtest]
 fn a_run_that_lost_its_address_to_a_late_heartbeat_has_it_back_once_it_is_heard() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(record("new", 3, false), seconds(5));
+    registry.apply(record("new", 3, false), seconds(5));
     // Nothing was heard for a while here, as on a control VM that is cut off.
-    registry.take(record("former", 17, false), seconds(15));
+    registry.apply(record("former", 17, false), seconds(15));
 
-    registry.take(record("new", 12, false), seconds(16));
-    registry.take(record("new", 13, false), seconds(17));
+    registry.apply(record("new", 12, false), seconds(16));
+    registry.apply(record("new", 13, false), seconds(17));
 
     expect_that!(open_endpoints(&registry), elements_are![eq("new")]);
 }
@@ -37,10 +37,10 @@
 #[gtest]
 fn a_run_that_starts_soon_after_a_crash_has_the_address_with_its_second_heartbeat() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(record("former", 17, false), Instant(5_000_000));
+    registry.apply(record("former", 17, false), Instant(5_000_000));
 
-    registry.take(record("new", 1, false), Instant(5_800_000));
-    registry.take(record("new", 2, false), Instant(7_000_000));
+    registry.apply(record("new", 1, false), Instant(5_800_000));
+    registry.apply(record("new", 2, false), Instant(7_000_000));
 
     expect_that!(open_endpoints(&registry), elements_are![eq("new")]);
 }
@@ -48,10 +48,10 @@
 #[gtest]
 fn a_former_run_that_leaves_is_not_overheard() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(record("new", 3, false), seconds(5));
+    registry.apply(record("new", 3, false), seconds(5));
 
-    let news = registry.take(record("former", 17, true), seconds(6));
-    let again = registry.take(record("former", 16, false), seconds(30));
+    let news = registry.apply(record("former", 17, true), seconds(6));
+    let again = registry.apply(record("former", 16, false), seconds(30));
 
     expect_that!(news, some(field!(EndpointRecord.leaving, eq(&true))));
     expect_that!(again, none());
@@ -67,7 +67,7 @@
         let mut registry = Registry::new(HEARTBEAT);
 
         for (record, heard) in lists {
-            registry.take_heard(record, heard, now);
+            registry.apply_heard_at(record, heard, now);
         }
 
         expect_that!(open_endpoints(&registry), elements_are![eq("new")]);
@@ -76,11 +76,11 @@
 
 /// The last daemon is linked to this control VM and is told all that is known there.
 fn link(vms: &mut [Registry], at: usize, now: Instant) {
-    let parts = 0..super::PARTS;
-    let known: Vec<_> = parts.flat_map(|part| vms[at].part(part).to_vec()).collect();
+    let parts = 0..super::BUCKETS;
+    let known: Vec<_> = parts.flat_map(|part| vms[at].bucket(part).to_vec()).collect();
     let entry = vms.last_mut().unwrap();
     for (record, heard) in known {
-        entry.take_heard(record, heard, now);
+        entry.apply_heard_at(record, heard, now);
     }
 }
 
@@ -118,7 +118,7 @@
         let mut now = seconds(10);
         for (vm, known) in vms.iter_mut().zip(&former_known) {
             if *known {
-                vm.take(record("former", 5, false), seconds(1));
+                vm.apply(record("former", 5, false), seconds(1));
             }
         }
         let mut sequence = 0;
@@ -130,15 +130,15 @@
                     sequence += 1;
                     let beat = record("new", sequence, false);
                     for at in [at, 1 - at] {
-                        if let Some(news) = vms[at].take(beat.clone(), now) {
-                            vms[2].take(news, now);
+                        if let Some(news) = vms[at].apply(beat.clone(), now) {
+                            vms[2].apply(news, now);
                         }
                     }
                 }
                 Step::Late(at) => {
-                    if let Some(news) = vms[at].take(record("former", 20, false), now) {
-                        vms[1 - at].take(news.clone(), now);
-                        vms[2].take(news, now);
+                    if let Some(news) = vms[at].apply(record("former", 20, false), now) {
+                        vms[1 - at].apply(news.clone(), now);
+                        vms[2].apply(news, now);
                     }
                 }
                 Step::Link(at) => {
--- a/crates/core/src/registry/digest.rs
+++ b/crates/core/src/registry/digest.rs
@@ -6,31 +6,31 @@
 use crate::wire::EndpointRecord;
 
 /// Parts into which endpoints are divided: 3,000 of them make 47 a part, 6 kB on a link.
-pub(crate) const PARTS: usize = 64;
+pub(crate) const BUCKETS: usize = 64;
 
 /// The part that an endpoint of this name is in.
-pub(crate) fn part_of(id: &str) -> usize {
-    (hash(&id) % PARTS as u64) as usize
+pub(crate) fn bucket_of(id: &str) -> usize {
+    (hash(&id) % BUCKETS as u64) as usize
 }
 
 /// One number for each part, the sum over its endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Digest(Vec<u64>);
+pub(crate) struct RegistryDigest(Vec<u64>);
 
-impl Digest {
+impl RegistryDigest {
     /// The digest of these endpoints.
-    pub(crate) fn of<'a>(records: impl Iterator<Item = &'a EndpointRecord>) -> Digest {
-        let mut sums = vec![0u64; PARTS];
+    pub(crate) fn of<'a>(records: impl Iterator<Item = &'a EndpointRecord>) -> RegistryDigest {
+        let mut sums = vec![0u64; BUCKETS];
         for record in records {
-            let sum = &mut sums[part_of(&record.id)];
+            let sum = &mut sums[bucket_of(&record.id)];
             *sum = sum.wrapping_add(hash_of(record));
         }
-        Digest(sums)
+        RegistryDigest(sums)
     }
 
     /// A digest as another daemon has told it; none if it has other parts.
-    pub(crate) fn read(sums: Vec<u64>) -> Option<Digest> {
-        (sums.len() == PARTS).then_some(Digest(sums))
+    pub(crate) fn from_sums(sums: Vec<u64>) -> Option<RegistryDigest> {
+        (sums.len() == BUCKETS).then_some(RegistryDigest(sums))
     }
 
     /// One number for each part.
@@ -39,7 +39,7 @@
     }
 
     /// The parts that differ.
-    pub(crate) fn differs_in(&self, other: &Digest) -> impl Iterator<Item = usize> {
+    pub(crate) fn differing_buckets(&self, other: &RegistryDigest) -> impl Iterator<Item = usize> {
         let pairs = self.0.iter().zip(&other.0).enumerate();
         pairs.filter(|(_, (a, b))| a != b).map(|(part, _)| part)
     }
--- a/crates/core/src/registry/mod.rs
+++ b/crates/core/src/registry/mod.rs
@@ -26,9 +26,9 @@
     wire::EndpointRecord,
 };
 
-pub(crate) use self::digest::Digest;
+pub(crate) use self::digest::RegistryDigest;
 use self::{
-    digest::{PARTS, part_of},
+    digest::{BUCKETS, bucket_of},
     forgotten::Forgotten,
     known::{Known, KnownEndpoints},
 };
@@ -45,7 +45,7 @@
 
 /// An endpoint that registered itself, as requests see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Registered {
+pub struct RegisteredEndpoint {
     /// Name of its run.
     pub id: Arc<str>,
     /// The service that it belongs to.
@@ -55,13 +55,13 @@
     /// Its data hall.
     pub hall: Arc<str>,
     /// Whether it may get new work.
-    pub open: bool,
+    pub available: bool,
     /// Whether its data hall is out of service: nothing at all is sent there.
-    pub out: bool,
+    pub hall_out: bool,
     /// Until when it is cold, as far as known.
     pub cold_until: Option<Instant>,
     /// When this run was started; see [`EndpointRecord::born`].
-    pub born: u64,
+    pub started_at: u64,
     /// Number of the heartbeat that told what is new.
     pub sequence: u64,
 }
@@ -70,11 +70,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RunState {
     /// It runs, as far as is known.
-    Runs,
+    Running,
     /// It has said that it leaves, and may have ended since.
-    Left,
+    Departed,
     /// It has ended without a word: its heartbeats have stopped, or another run has come in its place.
-    Ended,
+    Crashed,
 }
 
 /// The endpoints that one daemon knows.
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 struct Shown {
     revision: u64,
-    digest: Digest,
+    digest: RegistryDigest,
     /// The endpoints of each part, and when each was last heard.
     parts: Vec<Vec<(EndpointRecord, Instant)>>,
 }
@@ -122,19 +122,19 @@
 
     /// Takes a heartbeat that was heard now, or news of it. Returns the record to pass on if it
     /// says anything new.
-    pub fn take(&mut self, record: EndpointRecord, now: Instant) -> Option<EndpointRecord> {
-        self.take_heard(record, now, now)
+    pub fn apply(&mut self, record: EndpointRecord, now: Instant) -> Option<EndpointRecord> {
+        self.apply_heard_at(record, now, now)
     }
 
     /// The same of a heartbeat that was heard earlier.
-    pub fn take_heard(
+    pub fn apply_heard_at(
         &mut self,
         record: EndpointRecord,
         heard: Instant,
         now: Instant,
     ) -> Option<EndpointRecord> {
         if record.address.is_empty() {
-            return self.leave(&record.id, record.born, now);
+            return self.mark_leaving(&record.id, record.born, now);
         }
         let id: Arc<str> = record.id.as_str().into();
         let address: SocketAddr = record.address.parse().ok()?;
@@ -173,7 +173,7 @@
         now: Instant,
     ) -> Option<EndpointRecord> {
         if self.is_taken(address, &record, heard) {
-            return if record.leaving { self.leave(&id, record.born, now) } else { None };
+            return if record.leaving { self.mark_leaving(&id, record.born, now) } else { None };
         }
         self.known.remove(&id);
         self.known.remove_at(address);
@@ -192,10 +192,10 @@
     /// Takes the endpoints that were known before this daemon's start. Without them no endpoint is
     /// known for up to a heartbeat after a failure of all control VMs (measured: 70 of 100 calls
     /// refused within 0.6 s).
-    pub fn recall(&mut self, records: Vec<EndpointRecord>, now: Instant) {
+    pub fn restore(&mut self, records: Vec<EndpointRecord>, now: Instant) {
         for record in records {
             let id: Arc<str> = record.id.as_str().into();
-            if self.known.contains(&id) || self.take(record, now).is_none() {
+            if self.known.contains(&id) || self.apply(record, now).is_none() {
                 continue;
             }
             if let Some(known) = self.known.get_mut(&id) {
@@ -207,24 +207,24 @@
     /// What is known of the run of an endpoint that was started then.
     pub(crate) fn run_state(&self, id: &str, born: u64) -> RunState {
         match self.known.get(id) {
-            Some(known) if known.record.born != born => RunState::Ended,
-            Some(known) if known.record.leaving => RunState::Left,
-            Some(known) if known.record.silent => RunState::Ended,
-            Some(_) => RunState::Runs,
-            None if self.forgotten.contains(id, born) => RunState::Left,
-            None => RunState::Ended,
+            Some(known) if known.record.born != born => RunState::Crashed,
+            Some(known) if known.record.leaving => RunState::Departed,
+            Some(known) if known.record.silent => RunState::Crashed,
+            Some(_) => RunState::Running,
+            None if self.forgotten.contains(id, born) => RunState::Departed,
+            None => RunState::Crashed,
         }
     }
 
     /// Whether the run of an endpoint that was started then is the one that is known, if it answers or not.
-    pub(crate) fn knows_run(&self, id: &str, born: u64) -> bool {
+    pub(crate) fn is_current_run(&self, id: &str, born: u64) -> bool {
         self.known.get(id).is_some_and(|known| known.record.born == born)
     }
 
     /// Notes that the run of an endpoint that was started then, or whatever run is known where that is
     /// zero, said that it will end. Returns the record to pass on if that is new; for an endpoint that
     /// is not known here it holds only the name and the run.
-    pub fn leave(&mut self, id: &str, born: u64, now: Instant) -> Option<EndpointRecord> {
+    pub fn mark_leaving(&mut self, id: &str, born: u64, now: Instant) -> Option<EndpointRecord> {
         let Some(known) = self.known.get_mut(id) else {
             let new = self.forgotten.insert(&id.into(), born);
             let record =
@@ -262,12 +262,12 @@
     }
 
     /// A digest of all records.
-    pub(crate) fn digest(&mut self) -> Digest {
+    pub(crate) fn digest(&mut self) -> RegistryDigest {
         self.shown().digest.clone()
     }
 
     /// The records of a part, each with when it was last heard.
-    pub(crate) fn part(&mut self, part: usize) -> &[(EndpointRecord, Instant)] {
+    pub(crate) fn bucket(&mut self, part: usize) -> &[(EndpointRecord, Instant)] {
         self.shown().parts.get(part).map_or(&[], Vec::as_slice)
     }
 
@@ -275,11 +275,11 @@
         self.shown.take_if(|shown| shown.revision != self.revision);
         let known = &self.known;
         self.shown.get_or_insert_with(|| {
-            let mut parts = vec![Vec::new(); PARTS];
+            let mut parts = vec![Vec::new(); BUCKETS];
             for known in known.values() {
-                parts[part_of(&known.record.id)].push((known.record.clone(), known.heard));
+                parts[bucket_of(&known.record.id)].push((known.record.clone(), known.heard));
             }
-            let digest = Digest::of(known.values().map(|known| &known.record));
+            let digest = RegistryDigest::of(known.values().map(|known| &known.record));
             Shown { revision: self.revision, digest, parts }
         })
     }
@@ -314,13 +314,13 @@
     }
 
     /// Until when endpoints are cold, by name; those of which that is not known are left out.
-    pub fn cold(&self) -> impl Iterator<Item = (&Arc<str>, Instant)> {
+    pub fn cold_endpoints(&self) -> impl Iterator<Item = (&Arc<str>, Instant)> {
         self.known.iter().filter_map(|(id, known)| Some((id, known.cold_until?)))
     }
 
     /// Notes that a data hall was given back to service: its endpoints may have become cold shortly
     /// before, and say so only with their next heartbeats.
-    pub fn hall_back(&mut self, hall: &str, config: &Config, now: Instant) {
+    pub fn on_hall_restored(&mut self, hall: &str, config: &Config, now: Instant) {
         for known in self.known.values_mut().filter(|known| known.record.hall == hall) {
             let service = config.services.get(&known.record.service);
             if let Some(cold_start) = service.and_then(|service| service.cold_start) {
@@ -331,7 +331,7 @@
     }
 
     /// Notes that the run of an endpoint that was started then is cold until that time.
-    pub(crate) fn cool(&mut self, id: &str, born: u64, until: Instant) {
+    pub(crate) fn mark_cold(&mut self, id: &str, born: u64, until: Instant) {
         let known = self.known.get_mut(id).filter(|known| known.record.born == born);
         if known.is_some_and(|known| known.cool(until)) {
             self.revision += 1;
@@ -341,7 +341,7 @@
     /// Names of the endpoints that must get no new work: those that leave, and those that are
     /// silent while another of their service is heard. Where all are silent it is more likely
     /// that their heartbeats do not arrive than that all have failed at once.
-    pub fn closed(&self) -> impl Iterator<Item = &Arc<str>> {
+    pub fn unavailable(&self) -> impl Iterator<Item = &Arc<str>> {
         let heard: BTreeSet<&str> = self
             .known
             .values()
@@ -355,19 +355,19 @@
     }
 
     /// All endpoints, and whether each may get new work while these halls are out of service.
-    pub fn endpoints(&self, halls_out: &HallsOut) -> Vec<Registered> {
-        let closed: BTreeSet<&Arc<str>> = self.closed().collect();
+    pub fn endpoints(&self, halls_out: &HallsOut) -> Vec<RegisteredEndpoint> {
+        let closed: BTreeSet<&Arc<str>> = self.unavailable().collect();
         let registered = |(id, known): (&Arc<str>, &Known)| {
             let out = halls_out.contains(&known.record.hall);
-            Registered {
+            RegisteredEndpoint {
                 id: id.clone(),
                 service: known.record.service.as_str().into(),
                 address: known.address,
                 hall: known.record.hall.as_str().into(),
-                open: !out && !closed.contains(id),
-                out,
+                available: !out && !closed.contains(id),
+                hall_out: out,
                 cold_until: known.cold_until,
-                born: known.record.born,
+                started_at: known.record.born,
                 sequence: known.record.sequence,
             }
         };
--- a/crates/core/src/registry/run_tests.rs
+++ b/crates/core/src/registry/run_tests.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-use super::{PARTS, Registry};
+use super::{BUCKETS, Registry};
 use crate::{state::HallsOut, testing::fixed_seed, units::Instant, wire::EndpointRecord};
 
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
@@ -31,15 +31,19 @@
 /// The runs of `e` that may get new work, by their starts.
 fn open_runs(registry: &Registry) -> Vec<u64> {
     let endpoints = registry.endpoints(&HallsOut::default());
-    endpoints.into_iter().filter(|endpoint| endpoint.open).map(|endpoint| endpoint.born).collect()
+    endpoints
+        .into_iter()
+        .filter(|endpoint| endpoint.available)
+        .map(|endpoint| endpoint.started_at)
+        .collect()
 }
 
 #[gtest]
 fn a_run_that_starts_anew_is_known_at_once_though_its_heartbeats_are_counted_anew() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(beat(100, 57), seconds(0));
+    registry.apply(beat(100, 57), seconds(0));
 
-    let news = registry.take(beat(200, 1), seconds(2));
+    let news = registry.apply(beat(200, 1), seconds(2));
 
     expect_that!(news, some(anything()));
     expect_that!(open_runs(&registry), elements_are![eq(&200)]);
@@ -48,23 +52,23 @@
 #[gtest]
 fn nothing_that_a_former_run_has_said_holds_for_the_new_one() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(EndpointRecord { cold_ms: 60_000, ..beat(100, 57) }, seconds(0));
-    registry.leave("e", 0, seconds(1));
+    registry.apply(EndpointRecord { cold_ms: 60_000, ..beat(100, 57) }, seconds(0));
+    registry.mark_leaving("e", 0, seconds(1));
 
-    registry.take(beat(200, 1), seconds(2));
+    registry.apply(beat(200, 1), seconds(2));
 
     expect_that!(open_runs(&registry), elements_are![eq(&200)]);
-    expect_that!(registry.cold().count(), eq(0));
+    expect_that!(registry.cold_endpoints().count(), eq(0));
 }
 
 #[gtest]
 fn a_heartbeat_of_a_former_run_that_a_cut_has_held_up_changes_nothing() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(beat(100, 57), seconds(0));
-    registry.take(beat(200, 1), seconds(2));
+    registry.apply(beat(100, 57), seconds(0));
+    registry.apply(beat(200, 1), seconds(2));
 
     let leaving = EndpointRecord { leaving: true, ..beat(100, 58) };
-    let news = [registry.take(leaving, seconds(3)), registry.take(beat(100, 59), seconds(3))];
+    let news = [registry.apply(leaving, seconds(3)), registry.apply(beat(100, 59), seconds(3))];
 
     expect_that!(news, each(none()));
     expect_that!(open_runs(&registry), elements_are![eq(&200)]);
@@ -73,12 +77,12 @@
 #[gtest]
 fn a_run_that_has_left_and_was_forgotten_does_not_come_back_but_a_later_one_does() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(beat(100, 57), seconds(0));
-    registry.leave("e", 0, seconds(1));
+    registry.apply(beat(100, 57), seconds(0));
+    registry.mark_leaving("e", 0, seconds(1));
     registry.expire(seconds(70));
 
-    let late = registry.take(beat(100, 58), seconds(71));
-    let anew = registry.take(beat(200, 1), seconds(72));
+    let late = registry.apply(beat(100, 58), seconds(71));
+    let anew = registry.apply(beat(200, 1), seconds(72));
 
     expect_that!(late, none());
     expect_that!(anew, some(anything()));
@@ -88,11 +92,11 @@
 #[gtest]
 fn word_that_a_former_run_has_left_does_not_close_the_new_one() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(beat(200, 1), seconds(0));
+    registry.apply(beat(200, 1), seconds(0));
     let name_only =
         EndpointRecord { id: "e".into(), leaving: true, born: 100, ..EndpointRecord::default() };
 
-    let news = registry.take(name_only, seconds(1));
+    let news = registry.apply(name_only, seconds(1));
 
     expect_that!(news, none());
     expect_that!(open_runs(&registry), elements_are![eq(&200)]);
@@ -101,10 +105,10 @@
 #[gtest]
 fn one_that_does_not_say_when_it_was_started_takes_no_place_of_one_that_does() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(beat(100, 3), seconds(0));
+    registry.apply(beat(100, 3), seconds(0));
 
     let foreign = EndpointRecord { address: "10.9.9.9:1".into(), ..beat(0, 99) };
-    let news = registry.take(foreign, seconds(1));
+    let news = registry.apply(foreign, seconds(1));
 
     expect_that!(news, none());
     expect_that!(open_runs(&registry), elements_are![eq(&100)]);
@@ -114,10 +118,10 @@
 fn an_address_goes_to_the_run_that_was_started_last_at_once() {
     let mut registry = Registry::new(HEARTBEAT);
     let other = |born, sequence| EndpointRecord { id: "other".into(), ..beat(born, sequence) };
-    registry.take(beat(100, 3), seconds(10));
+    registry.apply(beat(100, 3), seconds(10));
 
-    let later = registry.take(other(200, 1), seconds(10));
-    let earlier = registry.take(beat(100, 4), seconds(10));
+    let later = registry.apply(other(200, 1), seconds(10));
+    let earlier = registry.apply(beat(100, 4), seconds(10));
 
     expect_that!(later, some(anything()));
     expect_that!(earlier, none());
@@ -159,9 +163,9 @@
 
 impl Daemons {
     fn hear(&mut self, at: usize, record: EndpointRecord) {
-        if let Some(news) = self.vms[at].take(record, self.now) {
-            self.vms[1 - at].take(news.clone(), self.now);
-            self.vms[2].take(news, self.now);
+        if let Some(news) = self.vms[at].apply(record, self.now) {
+            self.vms[1 - at].apply(news.clone(), self.now);
+            self.vms[2].apply(news, self.now);
         }
     }
 
@@ -174,15 +178,15 @@
             }
             Step::Link { at } => {
                 let known: Vec<_> =
-                    (0..PARTS).flat_map(|n| self.vms[at].part(n).to_vec()).collect();
+                    (0..BUCKETS).flat_map(|n| self.vms[at].bucket(n).to_vec()).collect();
                 for (record, heard) in known {
-                    self.vms[2].take_heard(record, heard, self.now);
+                    self.vms[2].apply_heard_at(record, heard, self.now);
                 }
             }
             Step::Restart { at } => {
                 let remembered = self.vms[at].records().cloned().collect();
                 self.vms[at] = Registry::new(HEARTBEAT);
-                self.vms[at].recall(remembered, self.now);
+                self.vms[at].restore(remembered, self.now);
             }
         }
     }
--- a/crates/core/src/registry/silence.rs
+++ b/crates/core/src/registry/silence.rs
@@ -19,7 +19,7 @@
 impl Registry {
     /// Finds the endpoints whose heartbeats have stopped since the last call. Only control
     /// VMs hear every heartbeat.
-    pub fn find_silent(&mut self, now: Instant) -> Vec<EndpointRecord> {
+    pub fn detect_silent(&mut self, now: Instant) -> Vec<EndpointRecord> {
         let limit = self.heartbeat * MISSED_HEARTBEATS;
         let is_heard = |known: &Known| !known.recalled && now.since(known.heard) < limit;
         let heard = self.known.values().filter(|known| is_heard(known)).count();
--- a/crates/core/src/registry/tests.rs
+++ b/crates/core/src/registry/tests.rs
@@ -30,36 +30,36 @@
 #[gtest]
 fn a_late_heartbeat_does_not_bring_a_leaving_endpoint_back() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(record("a", 1, false), seconds(0));
-    registry.take(record("a", 3, true), seconds(1));
+    registry.apply(record("a", 1, false), seconds(0));
+    registry.apply(record("a", 3, true), seconds(1));
 
-    let news = registry.take(record("a", 2, false), seconds(2));
+    let news = registry.apply(record("a", 2, false), seconds(2));
 
     expect_that!(news, none());
-    expect_that!(registry.closed().count(), eq(1));
+    expect_that!(registry.unavailable().count(), eq(1));
 }
 
 #[gtest]
 fn a_heartbeat_after_the_farewell_does_not_bring_the_endpoint_back() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(record("a", 1, false), seconds(0));
-    let farewell = registry.leave("a", 0, seconds(1));
-    let again = registry.leave("a", 0, seconds(1));
+    registry.apply(record("a", 1, false), seconds(0));
+    let farewell = registry.mark_leaving("a", 0, seconds(1));
+    let again = registry.mark_leaving("a", 0, seconds(1));
 
-    registry.take(record("a", 2, false), seconds(2));
+    registry.apply(record("a", 2, false), seconds(2));
 
     expect_that!(farewell, some(anything()));
     expect_that!(again, none());
-    expect_that!(registry.closed().count(), eq(1));
+    expect_that!(registry.unavailable().count(), eq(1));
 }
 
 #[gtest]
 fn an_address_belongs_to_the_run_that_claimed_it_last() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(record("a", 9, false), seconds(0));
+    registry.apply(record("a", 9, false), seconds(0));
 
-    registry.take(record("b", 1, false), seconds(5));
-    registry.take(record("a", 10, false), seconds(6));
+    registry.apply(record("b", 1, false), seconds(5));
+    registry.apply(record("a", 10, false), seconds(6));
 
     let ids: Vec<&str> = registry.records().map(|r| r.id.as_str()).collect();
     expect_that!(ids, elements_are![eq(&"b")]);
@@ -69,9 +69,9 @@
 fn only_what_is_new_is_passed_on() {
     let mut registry = Registry::new(HEARTBEAT);
 
-    let first = registry.take(record("a", 1, false), seconds(0));
-    let second = registry.take(record("a", 2, false), seconds(1));
-    let leaving = registry.take(record("a", 3, true), seconds(2));
+    let first = registry.apply(record("a", 1, false), seconds(0));
+    let second = registry.apply(record("a", 2, false), seconds(1));
+    let leaving = registry.apply(record("a", 3, true), seconds(2));
 
     expect_that!(first, some(anything()));
     expect_that!(second, none());
@@ -81,26 +81,26 @@
 #[gtest]
 fn silence_closes_an_endpoint_and_a_heartbeat_opens_it_again() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(record("a", 1, false), seconds(0));
+    registry.apply(record("a", 1, false), seconds(0));
     let other = EndpointRecord { address: "10.0.0.2:80".into(), ..record("b", 1, false) };
-    registry.take(EndpointRecord { sequence: 8, ..other }, seconds(9));
+    registry.apply(EndpointRecord { sequence: 8, ..other }, seconds(9));
 
-    let silent = registry.find_silent(seconds(9));
-    let closed = registry.closed().count();
-    let back = registry.take(record("a", 2, false), seconds(10));
+    let silent = registry.detect_silent(seconds(9));
+    let closed = registry.unavailable().count();
+    let back = registry.apply(record("a", 2, false), seconds(10));
 
     expect_that!(silent.len(), eq(1));
     expect_that!(closed, eq(1));
     expect_that!(back, some(field!(EndpointRecord.silent, eq(&false))));
-    expect_that!(registry.closed().count(), eq(0));
+    expect_that!(registry.unavailable().count(), eq(0));
 }
 
 #[gtest]
 fn while_nobody_is_heard_no_endpoint_is_closed() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(record("a", 1, false), seconds(0));
+    registry.apply(record("a", 1, false), seconds(0));
 
-    let silent = registry.find_silent(seconds(30));
+    let silent = registry.detect_silent(seconds(30));
 
     expect_that!(silent.len(), eq(0));
 }
@@ -119,31 +119,31 @@
         let mut one = Registry::new(HEARTBEAT);
         let mut two = Registry::new(HEARTBEAT);
         for (sequence, leaving) in &beats {
-            one.take(record("a", *sequence, *leaving), seconds(1));
+            one.apply(record("a", *sequence, *leaving), seconds(1));
         }
         let at = rotate % beats.len();
         beats.rotate_left(at);
         beats.reverse();
         for (sequence, leaving) in &beats {
-            two.take(record("a", *sequence, *leaving), seconds(1));
+            two.apply(record("a", *sequence, *leaving), seconds(1));
         }
-        prop_assert_eq!(one.closed().count(), two.closed().count());
+        prop_assert_eq!(one.unavailable().count(), two.unavailable().count());
     }
 }
 
 #[gtest]
 fn farewells_of_names_that_nobody_knows_take_bounded_memory() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(record("a", 1, false), seconds(0));
+    registry.apply(record("a", 1, false), seconds(0));
     let other = EndpointRecord { address: "10.0.0.2:80".into(), ..record("b", 1, false) };
-    registry.take(EndpointRecord { address: "10.0.0.1:80".into(), ..other }, seconds(1));
+    registry.apply(EndpointRecord { address: "10.0.0.1:80".into(), ..other }, seconds(1));
 
     for n in 0..20_000 {
-        registry.leave(&format!("made-up-{n}"), 0, seconds(2));
+        registry.mark_leaving(&format!("made-up-{n}"), 0, seconds(2));
     }
 
     expect_that!(registry.forgotten.len(), le(4_096));
-    expect_that!(registry.leave("made-up-19999", 0, seconds(3)), none());
+    expect_that!(registry.mark_leaving("made-up-19999", 0, seconds(3)), none());
 }
 
 /// Passes news between control VMs, in order, until nothing new is left; returns the number of
@@ -155,7 +155,7 @@
         passed += 1;
         assert!(passed < 1_000, "news goes around forever");
         for (at, vm) in vms.iter_mut().enumerate().filter(|(at, _)| *at != from) {
-            if let Some(new) = vm.take(news.clone(), seconds(1)) {
+            if let Some(new) = vm.apply(news.clone(), seconds(1)) {
                 queue.push_back((at, new));
             }
         }
@@ -169,13 +169,13 @@
     let known =
         |at: usize| EndpointRecord { silent: at.is_multiple_of(2), ..record("a", 7, false) };
     for (at, vm) in vms.iter_mut().enumerate() {
-        vm.take(known(at), seconds(0));
+        vm.apply(known(at), seconds(0));
     }
 
     let passed = pass_on(&mut vms, (0..4).map(known).collect());
 
     expect_that!(passed, lt(50));
-    let closed: Vec<usize> = vms.iter().map(|vm| vm.closed().count()).collect();
+    let closed: Vec<usize> = vms.iter().map(|vm| vm.unavailable().count()).collect();
     expect_that!(closed, each(eq(&0)));
     expect_that!(vms.iter().all(|vm| vm.records().all(|r| r.silent)), eq(true));
 }
@@ -188,30 +188,30 @@
         silent,
         ..record(id, 1, false)
     };
-    registry.take(other("a", true), seconds(0));
-    registry.take(other("bb", true), seconds(0));
-    let all_silent = registry.closed().count();
+    registry.apply(other("a", true), seconds(0));
+    registry.apply(other("bb", true), seconds(0));
+    let all_silent = registry.unavailable().count();
 
-    registry.take(other("ccc", false), seconds(0));
+    registry.apply(other("ccc", false), seconds(0));
 
     expect_that!(all_silent, eq(0));
-    expect_that!(registry.closed().count(), eq(2));
+    expect_that!(registry.unavailable().count(), eq(2));
 }
 
 #[gtest]
 fn a_recalled_endpoint_is_open_until_its_heartbeat_fails_to_come() {
     let mut registry = Registry::new(HEARTBEAT);
     let here = EndpointRecord { address: "10.0.0.2:80".into(), ..record("here", 7, false) };
-    registry.recall(vec![record("gone", 9, false), here.clone()], seconds(0));
-    let at_first = registry.closed().count();
+    registry.restore(vec![record("gone", 9, false), here.clone()], seconds(0));
+    let at_first = registry.unavailable().count();
 
-    registry.take(EndpointRecord { sequence: 8, ..here }, seconds(1));
-    let silent = registry.find_silent(seconds(3));
+    registry.apply(EndpointRecord { sequence: 8, ..here }, seconds(1));
+    let silent = registry.detect_silent(seconds(3));
 
     expect_that!(at_first, eq(0));
     expect_that!(silent.len(), eq(1));
     expect_that!(silent[0].id, eq("gone"));
-    expect_that!(registry.closed().count(), eq(1));
+    expect_that!(registry.unavailable().count(), eq(1));
 }
 
 /// Endpoints of these numbers with a heartbeat of this number.
@@ -227,16 +227,16 @@
 #[gtest]
 fn many_recalled_endpoints_whose_heartbeats_are_late_are_not_taken_for_silent() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.recall(endpoints(0..1_000, 7), seconds(0));
+    registry.restore(endpoints(0..1_000, 7), seconds(0));
     for heard in endpoints(0..600, 8) {
-        registry.take(heard, seconds(1));
+        registry.apply(heard, seconds(1));
     }
 
-    let late = registry.find_silent(seconds(3));
+    let late = registry.detect_silent(seconds(3));
     for heard in endpoints(600..980, 8) {
-        registry.take(heard, seconds(3));
+        registry.apply(heard, seconds(3));
     }
-    let gone = registry.find_silent(seconds(4));
+    let gone = registry.detect_silent(seconds(4));
 
     expect_that!(late.len(), eq(0));
     expect_that!(gone.len(), eq(20));
@@ -246,17 +246,17 @@
 fn while_most_are_not_heard_no_endpoint_is_taken_for_silent() {
     let mut registry = Registry::new(HEARTBEAT);
     for heard in endpoints(0..100, 1) {
-        registry.take(heard, seconds(0));
+        registry.apply(heard, seconds(0));
     }
     for heard in endpoints(0..40, 5) {
-        registry.take(heard, seconds(6));
+        registry.apply(heard, seconds(6));
     }
 
-    let most = registry.find_silent(seconds(6));
+    let most = registry.detect_silent(seconds(6));
     for heard in endpoints(40..80, 5) {
-        registry.take(heard, seconds(6));
+        registry.apply(heard, seconds(6));
     }
-    let few = registry.find_silent(seconds(6));
+    let few = registry.detect_silent(seconds(6));
 
     expect_that!(most.len(), eq(0));
     expect_that!(few.len(), eq(20));
@@ -266,24 +266,24 @@
 fn a_recalled_endpoint_that_was_leaving_gets_no_new_work() {
     let mut registry = Registry::new(HEARTBEAT);
 
-    registry.recall(vec![record("a", 9, true)], seconds(0));
+    registry.restore(vec![record("a", 9, true)], seconds(0));
 
-    expect_that!(registry.closed().count(), eq(1));
+    expect_that!(registry.unavailable().count(), eq(1));
 }
 
 #[gtest]
 fn what_was_heard_since_the_start_goes_before_what_is_recalled() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.take(record("a", 9, true), seconds(0));
+    registry.apply(record("a", 9, true), seconds(0));
 
-    registry.recall(vec![record("a", 5, false)], seconds(1));
+    registry.restore(vec![record("a", 5, false)], seconds(1));
 
-    expect_that!(registry.closed().count(), eq(1));
+    expect_that!(registry.unavailable().count(), eq(1));
 }
 
 /// Names of the endpoints that may get new work.
 pub(super) fn open_endpoints(registry: &Registry) -> Vec<String> {
     let endpoints =
-        registry.endpoints(&HallsOut::default()).into_iter().filter(|endpoint| endpoint.open);
+        registry.endpoints(&HallsOut::default()).into_iter().filter(|endpoint| endpoint.available);
     endpoints.map(|endpoint| endpoint.id.to_string()).collect()
 }
--- a/crates/core/src/signals.rs
+++ b/crates/core/src/signals.rs
@@ -9,7 +9,7 @@
 
 /// What an endpoint says of itself in the head of an answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Signals {
+pub struct EndpointSignals {
     /// How many requests a second it takes from all daemons together.
     pub limit: Result<Option<RateLimit>, InvalidRateLimit>,
     /// How long it wants nothing from this daemon, where it rejects a request.
@@ -20,9 +20,14 @@
     pub cold_for: Result<Option<Duration>, InvalidMillis>,
 }
 
-impl Default for Signals {
-    fn default() -> Signals {
-        Signals { limit: Ok(None), retry_after: Ok(None), leaving: Ok(false), cold_for: Ok(None) }
+impl Default for EndpointSignals {
+    fn default() -> EndpointSignals {
+        EndpointSignals {
+            limit: Ok(None),
+            retry_after: Ok(None),
+            leaving: Ok(false),
+            cold_for: Ok(None),
+        }
     }
 }
 
@@ -46,7 +51,7 @@
     }
 }
 
-impl Signals {
+impl EndpointSignals {
     /// The limit that it names, as lines of the log tell it.
     pub fn describe_limit(&self) -> String {
         describe_limit(self.limit.ok().flatten())
@@ -60,7 +65,7 @@
 
     /// The back-off that it asks for.
     pub fn backoff(&self) -> Option<Duration> {
-        self.retry_after.ok().flatten().map(RetryAfter::time)
+        self.retry_after.ok().flatten().map(RetryAfter::duration)
     }
 
     /// Whether it says that it is about to end.
--- a/crates/core/src/throttle/limit.rs
+++ b/crates/core/src/throttle/limit.rs
@@ -36,7 +36,7 @@
     }
 
     /// The only limit that is named by these texts, if any is.
-    pub fn read<'a>(
+    pub fn from_values<'a>(
         mut texts: impl Iterator<Item = &'a str>,
     ) -> Result<Option<RateLimit>, InvalidRateLimit> {
         let Some(text) = texts.next() else { return Ok(None) };
--- a/crates/core/src/throttle/limit_tests.rs
+++ b/crates/core/src/throttle/limit_tests.rs
@@ -31,8 +31,11 @@
 
 #[gtest]
 fn of_two_none_holds() {
-    expect_that!(RateLimit::read(["3", "4"].into_iter()), err(eq(InvalidRateLimit::Repeated)));
-    expect_that!(RateLimit::read([].into_iter()), ok(none()));
+    expect_that!(
+        RateLimit::from_values(["3", "4"].into_iter()),
+        err(eq(InvalidRateLimit::Repeated))
+    );
+    expect_that!(RateLimit::from_values([].into_iter()), ok(none()));
 }
 
 #[gtest]
--- a/crates/core/src/throttle/queue.rs
+++ b/crates/core/src/throttle/queue.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone)]
 pub struct PermitRequest<A> {
     /// Who asks.
-    pub asker: A,
+    pub requester: A,
     /// The service that the endpoints are of.
     pub service: Arc<str>,
     /// The endpoints that it may go to, the one that it would choose first.
@@ -81,7 +81,7 @@
 
 impl<A: Clone + PartialEq> PermitQueue<A> {
     /// Takes a request for a permit; it waits if nothing is returned.
-    pub fn ask(
+    pub fn request(
         &mut self,
         ask: PermitRequest<A>,
         throttle: &mut Throttle,
@@ -109,11 +109,11 @@
         for queue in self.queues.values_mut() {
             for Waiting { ask, deadline } in std::mem::take(&mut queue.waiting) {
                 if let Some(endpoint) = take_turn(&ask, throttle, now) {
-                    told.push((ask.asker, Permit::Granted(endpoint)));
+                    told.push((ask.requester, Permit::Granted(endpoint)));
                 } else if deadline <= now {
                     let wait = queue.expected_wait(&ask, throttle, now);
                     let refused = queue.refuse(&ask, wait, throttle, now);
-                    told.push((ask.asker, refused));
+                    told.push((ask.requester, refused));
                 } else {
                     queue.waiting.push_back(Waiting { ask, deadline });
                 }
@@ -133,14 +133,14 @@
     }
 
     /// Forgets those who ask no more.
-    pub fn forget(&mut self, is_gone: impl Fn(&A) -> bool) {
+    pub fn cancel(&mut self, is_gone: impl Fn(&A) -> bool) {
         for queue in self.queues.values_mut() {
-            queue.waiting.retain(|waiting| !is_gone(&waiting.ask.asker));
+            queue.waiting.retain(|waiting| !is_gone(&waiting.ask.requester));
         }
     }
 
     /// Takes all that wait out.
-    pub fn take_waiting(&mut self) -> Vec<PermitRequest<A>> {
+    pub fn drain_waiting(&mut self) -> Vec<PermitRequest<A>> {
         let queues = std::mem::take(&mut self.queues);
         self.due = None;
         queues.into_values().flat_map(|queue| queue.waiting).map(|waiting| waiting.ask).collect()
@@ -149,7 +149,8 @@
     fn look_ahead(&mut self, throttle: &Throttle, now: Instant) {
         let waiting = self.queues.values().flat_map(|queue| &queue.waiting);
         let due = waiting.map(|waiting| {
-            let turns = waiting.ask.endpoints.iter().map(|endpoint| throttle.next(endpoint, now));
+            let turns =
+                waiting.ask.endpoints.iter().map(|endpoint| throttle.next_send_at(endpoint, now));
             turns.fold(waiting.deadline, Instant::min)
         });
         self.due = due.min();
@@ -159,7 +160,7 @@
 impl<A> ServiceQueue<A> {
     /// How long one more would wait.
     fn expected_wait(&self, ask: &PermitRequest<A>, throttle: &Throttle, now: Instant) -> Duration {
-        let first = ask.endpoints.iter().map(|endpoint| throttle.next(endpoint, now)).min();
+        let first = ask.endpoints.iter().map(|endpoint| throttle.next_send_at(endpoint, now)).min();
         let first = first.map_or(LONGEST_RETRY, |at| at.since(now));
         first + spread(self.waiting.len(), rate(ask, throttle))
     }
@@ -182,8 +183,8 @@
 
 /// Uses the turn of the first endpoint whose turn has come.
 fn take_turn<A>(ask: &PermitRequest<A>, throttle: &mut Throttle, now: Instant) -> Option<Arc<str>> {
-    let endpoint = ask.endpoints.iter().find(|endpoint| throttle.takes(endpoint, now))?;
-    throttle.sent(endpoint, now);
+    let endpoint = ask.endpoints.iter().find(|endpoint| throttle.may_send(endpoint, now))?;
+    throttle.on_sent(endpoint, now);
     Some(endpoint.clone())
 }
 
--- a/crates/core/src/throttle/queue_tests.rs
+++ b/crates/core/src/throttle/queue_tests.rs
@@ -28,12 +28,15 @@
 fn name(throttle: &mut Throttle, endpoint: &str, per_second: f64, now: Instant) {
     let limit = Some(RateLimit::new(per_second).unwrap());
     let (endpoint, asked) = (endpoint.into(), Instant(now.0 - 1));
-    throttle.learn(RateLimitReport { endpoint, born: 1, limit, asked, read: now }, now);
+    throttle.on_report(
+        RateLimitReport { endpoint, started_at: 1, limit, sent_at: asked, received_at: now },
+        now,
+    );
 }
 
 fn ask(asker: u32, endpoints: &[&str], max_wait: Duration) -> PermitRequest<u32> {
     let endpoints = endpoints.iter().map(|name| (*name).into()).collect();
-    PermitRequest { asker, service: "s".into(), endpoints, max_wait }
+    PermitRequest { requester: asker, service: "s".into(), endpoints, max_wait }
 }
 
 fn granted(endpoint: &str) -> Permit {
@@ -44,9 +47,9 @@
 fn one_that_cannot_wait_is_told_at_once() {
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&["e"], 1.0));
 
-    let early = queue.ask(ask(1, &["e"], Duration::ZERO), &mut throttle, after_ms(500));
-    let due = queue.ask(ask(2, &["e"], Duration::ZERO), &mut throttle, after_ms(1_100));
-    let next = queue.ask(ask(3, &["e"], Duration::ZERO), &mut throttle, after_ms(1_200));
+    let early = queue.request(ask(1, &["e"], Duration::ZERO), &mut throttle, after_ms(500));
+    let due = queue.request(ask(2, &["e"], Duration::ZERO), &mut throttle, after_ms(1_100));
+    let next = queue.request(ask(3, &["e"], Duration::ZERO), &mut throttle, after_ms(1_200));
 
     // The interval is 1/0.95 s.
     let retry_after = Duration::from_micros(552_631);
@@ -58,9 +61,9 @@
 #[gtest]
 fn one_that_waits_goes_before_one_that_came_later() {
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&["e"], 1.0));
-    expect_that!(queue.ask(ask(1, &["e"], SECOND * 3), &mut throttle, after_ms(100)), none());
-    expect_that!(queue.ask(ask(2, &["e"], SECOND * 3), &mut throttle, after_ms(200)), none());
-    let later = queue.ask(ask(3, &["e"], Duration::ZERO), &mut throttle, after_ms(1_060));
+    expect_that!(queue.request(ask(1, &["e"], SECOND * 3), &mut throttle, after_ms(100)), none());
+    expect_that!(queue.request(ask(2, &["e"], SECOND * 3), &mut throttle, after_ms(200)), none());
+    let later = queue.request(ask(3, &["e"], Duration::ZERO), &mut throttle, after_ms(1_060));
 
     let first = queue.decide(&mut throttle, after_ms(1_060));
     let second = queue.decide(&mut throttle, after_ms(2_110));
@@ -73,7 +76,7 @@
 #[gtest]
 fn one_whose_turn_would_come_too_late_is_refused_at_once() {
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&["e"], 1.0));
-    let mut ask = |asker| queue.ask(ask(asker, &["e"], SECOND * 3), &mut throttle, after_ms(0));
+    let mut ask = |asker| queue.request(ask(asker, &["e"], SECOND * 3), &mut throttle, after_ms(0));
 
     let told: Vec<_> = (0..5).map(&mut ask).collect();
 
@@ -84,7 +87,7 @@
 #[gtest]
 fn those_who_are_refused_together_are_told_to_come_back_one_after_the_other() {
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&["e"], 10.0));
-    let mut ask = |asker| queue.ask(ask(asker, &["e"], Duration::ZERO), &mut throttle, START);
+    let mut ask = |asker| queue.request(ask(asker, &["e"], Duration::ZERO), &mut throttle, START);
 
     let told: Vec<Duration> = (0..10)
         .filter_map(|asker| match ask(asker)? {
@@ -102,7 +105,7 @@
 fn leave_is_given_where_a_turn_comes_first() {
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&["slow"], 0.5));
     name(&mut throttle, "fast", 5.0, START);
-    queue.ask(ask(1, &["slow", "fast"], SECOND), &mut throttle, after_ms(10));
+    queue.request(ask(1, &["slow", "fast"], SECOND), &mut throttle, after_ms(10));
 
     let due = queue.next_decision().unwrap();
     let told = queue.decide(&mut throttle, due);
@@ -113,10 +116,10 @@
 #[gtest]
 fn who_has_left_is_given_nothing() {
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&["e"], 1.0));
-    queue.ask(ask(1, &["e"], SECOND * 3), &mut throttle, START);
-    queue.ask(ask(2, &["e"], SECOND * 3), &mut throttle, START);
+    queue.request(ask(1, &["e"], SECOND * 3), &mut throttle, START);
+    queue.request(ask(2, &["e"], SECOND * 3), &mut throttle, START);
 
-    queue.forget(|asker| *asker == 1);
+    queue.cancel(|asker| *asker == 1);
     let told = queue.decide(&mut throttle, after_ms(1_100));
 
     expect_that!(told, elements_are![eq(&(2, granted("e")))]);
@@ -167,7 +170,7 @@
         let max_wait = Duration::from_millis(arrival.max_wait_ms);
         // Every second caller may go to any of them.
         let endpoints = if asker % 2 == 0 { &NAMES[..] } else { &NAMES[arrival.endpoint..][..1] };
-        let permit = queue.ask(ask(asker as u32, endpoints, max_wait), &mut throttle, now);
+        let permit = queue.request(ask(asker as u32, endpoints, max_wait), &mut throttle, now);
         permit.into_iter().for_each(|permit| note(permit, now));
     }
     sent
@@ -200,7 +203,8 @@
         let now = after_ms(10 * asker);
         sent += queue.decide(&mut throttle, now).len();
         let ask = ask(asker as u32, &["e0", "e1"], SECOND / 4);
-        sent += usize::from(matches!(queue.ask(ask, &mut throttle, now), Some(Permit::Granted(_))));
+        sent +=
+            usize::from(matches!(queue.request(ask, &mut throttle, now), Some(Permit::Granted(_))));
     }
 
     // 10 a second for 10 s, of which 0.95 are sent; and the first interval.
--- a/crates/core/src/throttle/table.rs
+++ b/crates/core/src/throttle/table.rs
@@ -15,7 +15,7 @@
 
 /// Who sends which part of what an endpoint takes. What the scheduler leaves bears the differences of the ways
 /// that requests take; while some daemons reach it and others do not, both parts together are 1.45 times the limit.
-const PARTS: RateSplit = RateSplit { scheduler: 0.95, daemons: 0.5 };
+const RATE_SPLIT: RateSplit = RateSplit { scheduler: 0.95, daemons: 0.5 };
 /// A limit that differs from the one that was told by less than this part is no news.
 const NO_NEWS: f64 = 0.1;
 /// For so long it is known that an endpoint names no limit any more, against old word of one.
@@ -36,7 +36,7 @@
 
 impl LimitChange {
     /// Its name in log lines.
-    pub fn name(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             LimitChange::None => "none",
             LimitChange::Set => "named",
@@ -81,25 +81,25 @@
     }
 
     /// Number of the endpoints that name one.
-    pub fn count(&self) -> usize {
-        self.words().count()
+    pub fn limited_endpoints(&self) -> usize {
+        self.reports().count()
     }
 
     /// The word of every endpoint that names one.
-    pub fn words(&self) -> impl Iterator<Item = &RateLimitReport> {
+    pub fn reports(&self) -> impl Iterator<Item = &RateLimitReport> {
         self.known.values().map(|known| &known.word).filter(|word| word.limit.is_some())
     }
 
     /// What was last heard of an endpoint that names a limit, or has done so lately.
-    pub fn word(&self, endpoint: &str) -> Option<&RateLimitReport> {
+    pub fn report(&self, endpoint: &str) -> Option<&RateLimitReport> {
         self.known.get(endpoint).map(|known| &known.word)
     }
 
     /// Takes an endpoint's word.
-    pub fn learn(&mut self, word: RateLimitReport, now: Instant) -> LimitChange {
+    pub fn on_report(&mut self, word: RateLimitReport, now: Instant) -> LimitChange {
         let Some(known) = self.known.get_mut(&word.endpoint) else {
             let Some(limit) = word.limit else { return LimitChange::None };
-            let interval = self.senders.interval(limit.interval(), PARTS);
+            let interval = self.senders.interval(limit.interval(), RATE_SPLIT);
             let turns = Turns::new(interval, self.senders.has_peers(), self.phase(&word), now);
             let known = Known { told: word.limit, turns, word };
             self.known.insert(known.word.endpoint.clone(), known);
@@ -109,7 +109,7 @@
             return LimitChange::None;
         }
         if let Some(limit) = word.limit {
-            let interval = self.senders.interval(limit.interval(), PARTS);
+            let interval = self.senders.interval(limit.interval(), RATE_SPLIT);
             known.turns.space(interval, self.senders.has_peers(), now);
         }
         known.word = word;
@@ -127,14 +127,14 @@
     }
 
     /// Takes with whom it shares what endpoints take.
-    pub fn set_senders(&mut self, senders: SenderRole, now: Instant) {
+    pub fn set_sender_role(&mut self, senders: SenderRole, now: Instant) {
         if self.senders == senders {
             return;
         }
         self.senders = senders;
         for known in self.known.values_mut() {
             let Some(limit) = known.word.limit else { continue };
-            let interval = senders.interval(limit.interval(), PARTS);
+            let interval = senders.interval(limit.interval(), RATE_SPLIT);
             known.turns.space(interval, senders.has_peers(), now);
         }
     }
@@ -142,18 +142,18 @@
     /// Forgets the word of endpoints that are not there any more, and of those that have named no limit for long.
     pub fn retain(&mut self, is_there: impl Fn(&RateLimitReport) -> bool, now: Instant) {
         self.known.retain(|_, Known { word, .. }| {
-            let is_old = LIFTED_LIFE < now.since(word.read);
+            let is_old = LIFTED_LIFE < now.since(word.received_at);
             is_there(word) && (word.limit.is_some() || !is_old)
         });
     }
 
     /// Whether an endpoint may be sent a request now.
-    pub fn takes(&self, endpoint: &str, now: Instant) -> bool {
+    pub fn may_send(&self, endpoint: &str, now: Instant) -> bool {
         self.turns(endpoint).is_none_or(|turns| turns.has_come(now))
     }
 
     /// When an endpoint may be sent a request, at the earliest.
-    pub fn next(&self, endpoint: &str, now: Instant) -> Instant {
+    pub fn next_send_at(&self, endpoint: &str, now: Instant) -> Instant {
         self.turns(endpoint).map_or(now, |turns| turns.next(now))
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// Notes that an endpoint is sent a request.
-    pub fn sent(&mut self, endpoint: &str, now: Instant) {
+    pub fn on_sent(&mut self, endpoint: &str, now: Instant) {
         if let Some(known) = self.known.get_mut(endpoint) {
             known.turns.sent(now);
         }
@@ -182,7 +182,7 @@
             return 1.0;
         }
         let mut hasher = DefaultHasher::new();
-        (self.seed, &word.endpoint, word.read.0).hash(&mut hasher);
+        (self.seed, &word.endpoint, word.received_at.0).hash(&mut hasher);
         hasher.finish() as f64 / u64::MAX as f64
     }
 }
--- a/crates/core/src/throttle/table_tests.rs
+++ b/crates/core/src/throttle/table_tests.rs
@@ -19,10 +19,10 @@
 fn word(per_second: Option<f64>, asked: u64, read: u64) -> RateLimitReport {
     RateLimitReport {
         endpoint: "e".into(),
-        born: 1,
+        started_at: 1,
         limit: per_second.map(limit),
-        asked: ms(asked),
-        read: ms(read),
+        sent_at: ms(asked),
+        received_at: ms(read),
     }
 }
 
@@ -34,8 +34,8 @@
 fn that_has_heard(words: impl IntoIterator<Item = RateLimitReport>) -> Throttle {
     let mut throttle = scheduler();
     for word in words {
-        let read = word.read;
-        throttle.learn(word, read);
+        let read = word.received_at;
+        throttle.on_report(word, read);
     }
     throttle
 }
@@ -44,28 +44,28 @@
 fn an_endpoint_without_a_limit_takes_all() {
     let mut throttle = scheduler();
 
-    expect_that!(throttle.learn(word(None, 0, 10), ms(10)), eq(LimitChange::None));
+    expect_that!(throttle.on_report(word(None, 0, 10), ms(10)), eq(LimitChange::None));
 
     expect_true!(throttle.is_empty());
-    expect_true!(throttle.takes("e", ms(10)));
+    expect_true!(throttle.may_send("e", ms(10)));
 }
 
 #[gtest]
 fn the_first_request_after_the_word_is_due_after_a_whole_interval() {
     let throttle = that_has_heard([word(Some(0.95), 0, 10)]);
 
-    expect_false!(throttle.takes("e", ms(500)));
-    expect_true!(throttle.takes("e", ms(1_200)));
+    expect_false!(throttle.may_send("e", ms(500)));
+    expect_true!(throttle.may_send("e", ms(1_200)));
 }
 
 #[gtest]
 fn an_answer_without_a_limit_lifts_it() {
     let mut throttle = that_has_heard([word(Some(2.0), 0, 10)]);
 
-    expect_that!(throttle.learn(word(None, 10, 20), ms(20)), eq(LimitChange::Lifted));
+    expect_that!(throttle.on_report(word(None, 10, 20), ms(20)), eq(LimitChange::Lifted));
 
     expect_that!(throttle.limit("e"), none());
-    expect_true!(throttle.takes("e", ms(20)));
+    expect_true!(throttle.may_send("e", ms(20)));
 }
 
 #[gtest]
@@ -101,7 +101,7 @@
 
 #[gtest]
 fn a_later_run_says_what_holds_and_a_former_one_nothing() {
-    let later = |per_second| RateLimitReport { born: 2, ..word(per_second, 0, 5) };
+    let later = |per_second| RateLimitReport { started_at: 2, ..word(per_second, 0, 5) };
 
     let replaced = that_has_heard([word(Some(2.0), 0, 10), later(None)]);
     let kept = that_has_heard([later(Some(3.0)), word(None, 20, 30)]);
@@ -113,7 +113,7 @@
 #[gtest]
 fn limits_that_differ_a_little_are_no_news() {
     let mut throttle = that_has_heard([word(Some(10.0), 0, 10)]);
-    let mut learn = |per_second, at| throttle.learn(word(Some(per_second), at, at + 1), ms(at));
+    let mut learn = |per_second, at| throttle.on_report(word(Some(per_second), at, at + 1), ms(at));
 
     expect_that!(learn(10.5, 20), eq(LimitChange::None));
     expect_that!(learn(9.6, 30), eq(LimitChange::None));
@@ -126,15 +126,15 @@
 fn an_endpoint_that_takes_nothing_is_tried_now_and_then() {
     let throttle = that_has_heard([word(Some(0.0), 0, 10)]);
 
-    expect_false!(throttle.takes("e", ms(10_000)));
-    expect_true!(throttle.takes("e", ms(11_000)));
+    expect_false!(throttle.may_send("e", ms(10_000)));
+    expect_true!(throttle.may_send("e", ms(11_000)));
 }
 
 #[gtest]
 fn a_limit_without_bound_holds_nothing_back() {
     let throttle = that_has_heard([word(Some(1e300), 0, 10)]);
 
-    expect_true!(throttle.takes("e", ms(10)));
+    expect_true!(throttle.may_send("e", ms(10)));
 }
 
 #[gtest]
@@ -157,15 +157,15 @@
     let mut all: Vec<Throttle> = (0..daemons)
         .map(|seed| {
             let mut throttle = Throttle::new(SenderRole::one_of(daemons), seed);
-            throttle.learn(word(Some(per_second), 0, 10), ms(10));
+            throttle.on_report(word(Some(per_second), 0, 10), ms(10));
             throttle
         })
         .collect();
     let mut times = Vec::new();
     // All traffic comes at once, after a pause in which turns could add up.
     for now in (60_000..120_000).step_by(STEP_MS as usize).map(ms) {
-        for throttle in all.iter_mut().filter(|throttle| throttle.takes("e", now)) {
-            throttle.sent("e", now);
+        for throttle in all.iter_mut().filter(|throttle| throttle.may_send("e", now)) {
+            throttle.on_sent("e", now);
             times.push(now);
         }
     }
@@ -192,7 +192,7 @@
 #[gtest]
 fn a_daemon_that_does_not_know_how_many_they_are_sends_nothing() {
     let mut throttle = Throttle::new(SenderRole::one_of(0), 1);
-    throttle.learn(word(Some(3.0), 0, 10), ms(10));
+    throttle.on_report(word(Some(3.0), 0, 10), ms(10));
 
-    expect_false!((0..60_000).step_by(100).any(|at| throttle.takes("e", ms(at))));
+    expect_false!((0..60_000).step_by(100).any(|at| throttle.may_send("e", ms(at))));
 }
--- a/crates/core/src/wire/throttle.rs
+++ b/crates/core/src/wire/throttle.rs
@@ -36,10 +36,10 @@
         let ago_us = |at: Instant| now.since(at).as_micros() as u64;
         LimitWord {
             endpoint: word.endpoint.to_string(),
-            born: word.born,
+            born: word.started_at,
             per_million_s: word.limit.map(|limit| (limit.per_second() * MILLION) as u64),
-            asked_ago_us: ago_us(word.asked),
-            read_ago_us: ago_us(word.read),
+            asked_ago_us: ago_us(word.sent_at),
+            read_ago_us: ago_us(word.received_at),
         }
     }
 
@@ -52,10 +52,10 @@
         };
         Some(RateLimitReport {
             endpoint: self.endpoint.into(),
-            born: self.born,
+            started_at: self.born,
             limit,
-            asked: at(self.asked_ago_us),
-            read: at(self.read_ago_us),
+            sent_at: at(self.asked_ago_us),
+            received_at: at(self.read_ago_us),
         })
     }
 }
--- a/crates/lab/src/backoff/ways.rs
+++ b/crates/lab/src/backoff/ways.rs
@@ -69,7 +69,7 @@
                 (Way::Request, _) => 0,
                 (_, Admission::BackedOff(_)) => continue,
                 (Way::All, _) if now < self.closed[endpoint] => continue,
-                (Way::Daemon | Way::All, _) | (_, Admission::Open) => 0,
+                (Way::Daemon | Way::All, _) | (_, Admission::Allowed) => 0,
                 (_, Admission::LastResort) => 1,
                 (_, Admission::Busy) => continue,
             };
--- a/crates/lab/src/limits/ways.rs
+++ b/crates/lab/src/limits/ways.rs
@@ -79,7 +79,7 @@
             };
             let mut throttle = Throttle::new(senders, seed as u64);
             for endpoint in &names {
-                throttle.learn(word(endpoint), Instant(1));
+                throttle.on_report(word(endpoint), Instant(1));
             }
             (PermitQueue::default(), throttle)
         };
@@ -109,8 +109,8 @@
         let at = if is_asked { 0 } else { arrival.daemon };
         let (queue, throttle) = &mut self.queues[at];
         let endpoints = self.endpoints.clone();
-        let ask = PermitRequest { asker: arrival, service: "s".into(), endpoints, max_wait };
-        match queue.ask(ask, throttle, arrival.at) {
+        let ask = PermitRequest { requester: arrival, service: "s".into(), endpoints, max_wait };
+        match queue.request(ask, throttle, arrival.at) {
             Some(Permit::Granted(endpoint)) => Some(self.sent(endpoint, arrival, arrival.at)),
             Some(Permit::Denied { .. }) | None => None,
         }
@@ -173,9 +173,9 @@
     let limit = RateLimit::new(LIMIT).ok();
     RateLimitReport {
         endpoint: endpoint.clone(),
-        born: 0,
+        started_at: 0,
         limit,
-        asked: Instant(0),
-        read: Instant(1),
+        sent_at: Instant(0),
+        received_at: Instant(1),
     }
 }
--- a/crates/server/src/relay/backoff.rs
+++ b/crates/server/src/relay/backoff.rs
@@ -6,7 +6,7 @@
 use trayswitch_core::{
     backoff::Admission,
     error::{ErrorKind, RequestError},
-    registry::Registered,
+    registry::RegisteredEndpoint,
     units,
 };
 
@@ -19,19 +19,19 @@
 /// The admissible endpoints of a service.
 pub(super) struct AdmittedEndpoints {
     /// Endpoints that a call may be sent to; last-resort ones only if there are no others.
-    pub(super) endpoints: Vec<Registered>,
+    pub(super) endpoints: Vec<RegisteredEndpoint>,
     /// When the next endpoint becomes admissible.
     next_open_at: Option<units::Instant>,
 }
 
 impl Relay {
     /// Whether a new request may be sent to an endpoint now.
-    pub(super) fn may_send(&self, endpoint: &Registered) -> Result<(), String> {
+    pub(super) fn may_send(&self, endpoint: &RegisteredEndpoint) -> Result<(), String> {
         if let Admission::BackedOff(_) = self.node.admission(&endpoint.id) {
             return Err("the endpoint has asked this daemon to back off".into());
         }
         match self.current_run(endpoint) {
-            Some(known) if !known.out && !known.open => {
+            Some(known) if !known.hall_out && !known.available => {
                 Err("the endpoint accepts no new requests".into())
             }
             _ => self.may_resume(endpoint),
@@ -39,24 +39,26 @@
     }
 
     /// Whether a generation may resume on the endpoint that holds its KV cache.
-    pub(super) fn may_resume(&self, endpoint: &Registered) -> Result<(), String> {
+    pub(super) fn may_resume(&self, endpoint: &RegisteredEndpoint) -> Result<(), String> {
         match self.current_run(endpoint) {
             None => Err("the endpoint is no longer registered".into()),
-            Some(known) if known.out => Err("the endpoint's data hall is out of service".into()),
+            Some(known) if known.hall_out => {
+                Err("the endpoint's data hall is out of service".into())
+            }
             Some(_) => Ok(()),
         }
     }
 
     /// Whether an endpoint may be asked to copy KV caches. A leaving endpoint is asked even while
     /// it backs off, since its generations are lost otherwise.
-    pub(super) fn may_request_copies(&self, endpoint: &Registered) -> bool {
+    pub(super) fn may_request_copies(&self, endpoint: &RegisteredEndpoint) -> bool {
         let is_backed_off = matches!(self.node.admission(&endpoint.id), Admission::BackedOff(_));
-        !is_backed_off || !endpoint.open
+        !is_backed_off || !endpoint.available
     }
 
-    fn current_run(&self, endpoint: &Registered) -> Option<Registered> {
+    fn current_run(&self, endpoint: &RegisteredEndpoint) -> Option<RegisteredEndpoint> {
         let known = self.node.view().endpoint(&endpoint.id)?;
-        (known.born == endpoint.born).then_some(known)
+        (known.started_at == endpoint.started_at).then_some(known)
     }
 
     /// The endpoints that an attempt may go to; waits until there is one.
@@ -65,7 +67,7 @@
         job: &Job,
         kind: AttemptKind,
         tried: &[Arc<str>],
-    ) -> Result<Vec<Registered>, RequestError> {
+    ) -> Result<Vec<RegisteredEndpoint>, RequestError> {
         loop {
             let open = self.open_endpoints(job);
             if open.is_empty() {
@@ -82,7 +84,7 @@
     /// Filters `endpoints` to those that an attempt may go to.
     pub(super) fn admitted(
         &self,
-        endpoints: Vec<Registered>,
+        endpoints: Vec<RegisteredEndpoint>,
         kind: AttemptKind,
         tried: &[Arc<str>],
     ) -> AdmittedEndpoints {
@@ -92,7 +94,7 @@
                 continue;
             }
             let opens_at = match self.node.admission(&endpoint.id) {
-                Admission::Open => {
+                Admission::Allowed => {
                     open.push(endpoint);
                     continue;
                 }
@@ -127,8 +129,8 @@
         let endpoints = self.node.view().open_endpoints(&job.service).len();
         let mut retry_spreaders = self.retry_spreaders.borrow_mut();
         let retry_spreader = retry_spreaders.entry(job.service.clone()).or_default();
-        let wait =
-            wait.min(trayswitch_core::backoff::MAX_BACKOFF) + retry_spreader.add(endpoints, now);
+        let wait = wait.min(trayswitch_core::backoff::MAX_BACKOFF)
+            + retry_spreader.next_delay(endpoints, now);
         let message = format!(
             "all endpoints of {} have asked this daemon to back off; retry after {} ms",
             job.service,
--- a/crates/server/src/relay/call.rs
+++ b/crates/server/src/relay/call.rs
@@ -9,8 +9,8 @@
 use trayswitch_core::{
     error::{ErrorKind, RequestError},
     mechanism::Mechanism,
-    registry::Registered,
-    signals::Signals,
+    registry::RegisteredEndpoint,
+    signals::EndpointSignals,
 };
 
 use super::{
@@ -305,13 +305,13 @@
     /// Reported to the load balancer.
     outcome: Outcome,
     /// Signals in the endpoint's response.
-    signals: Signals,
+    signals: EndpointSignals,
 }
 
 impl AttemptReport {
     /// An attempt without signals from the endpoint.
     fn new(end: AttemptEnd, outcome: Outcome) -> AttemptReport {
-        AttemptReport { end, outcome, signals: Signals::default() }
+        AttemptReport { end, outcome, signals: EndpointSignals::default() }
     }
 }
 
@@ -320,7 +320,7 @@
     relay: &Relay,
     job: &Job,
     turn: &QuarantineTurn,
-    endpoint: &Registered,
+    endpoint: &RegisteredEndpoint,
 ) -> AttemptReport {
     let protocol = &*relay.protocol;
     let req = job.request(protocol, &endpoint.id, endpoint.address, &ResumeFrom::default());
--- a/crates/server/src/relay/failed_attempt.rs
+++ b/crates/server/src/relay/failed_attempt.rs
@@ -14,7 +14,7 @@
 };
 use trayswitch_core::{
     node::{FailedAttempt, Input, ProbeOutcome},
-    registry::Registered,
+    registry::RegisteredEndpoint,
 };
 
 use super::{Job, Relay, quarantine_turn::QuarantineTurn};
@@ -41,7 +41,7 @@
         &self,
         job: &Job,
         turn: &QuarantineTurn,
-        endpoint: &Registered,
+        endpoint: &RegisteredEndpoint,
         events: u64,
     ) {
         let connect_timeout = self.options.connect_timeout;
@@ -50,7 +50,7 @@
         log::info!(
             event = EventId::EndedUnder.number(), id = job.caller.id.as_str(),
             request = job.digest(self).to_string().as_str(), endpoint = &*endpoint.id,
-            born = endpoint.born, events = events, end = outcome_name(outcome),
+            born = endpoint.started_at, events = events, end = outcome_name(outcome),
             trial = turn.trial.is_some();
             "an attempt failed before its response was complete"
         );
@@ -74,13 +74,13 @@
         &self,
         job: &Job,
         turn: &QuarantineTurn,
-        endpoint: &Registered,
+        endpoint: &RegisteredEndpoint,
         outcome: ProbeOutcome,
     ) -> FailedAttempt {
         FailedAttempt {
             request: job.digest(self),
             endpoint: endpoint.id.clone(),
-            started_at: Some(endpoint.born),
+            started_at: Some(endpoint.started_at),
             probe: outcome,
             trial: turn.trial.as_ref().map(|trial| trial.call()),
         }
@@ -142,7 +142,7 @@
     relay: &'a Relay,
     job: &'a Job,
     turn: &'a QuarantineTurn,
-    endpoint: &'a Registered,
+    endpoint: &'a RegisteredEndpoint,
     is_complete: bool,
 }
 
@@ -151,7 +151,7 @@
         relay: &'a Relay,
         job: &'a Job,
         turn: &'a QuarantineTurn,
-        endpoint: &'a Registered,
+        endpoint: &'a RegisteredEndpoint,
     ) -> AttemptGuard<'a> {
         AttemptGuard { relay, job, turn, endpoint, is_complete: false }
     }
--- a/crates/server/src/relay/generation.rs
+++ b/crates/server/src/relay/generation.rs
@@ -9,8 +9,8 @@
     error::{ErrorKind, RequestError},
     mechanism::Mechanism,
     node::Input,
-    registry::Registered,
-    signals::Signals,
+    registry::RegisteredEndpoint,
+    signals::EndpointSignals,
     wire::HealthNews,
 };
 
@@ -190,7 +190,7 @@
 ) -> Result<Opened, OpenError> {
     let started_at = Instant::now();
     let context = relay.decision_context();
-    let mut signals = Signals::default();
+    let mut signals = EndpointSignals::default();
     let opened = send(relay, job, turn, endpoint, resume_from, &mut signals).await;
     let (name, detail) = describe_result(&opened);
     relay.metrics.attempt(&job.service, name);
@@ -226,7 +226,7 @@
     turn: &QuarantineTurn,
     endpoint: &Arc<str>,
     resume_from: &ResumeFrom,
-    signals: &mut Signals,
+    signals: &mut EndpointSignals,
 ) -> Result<Opened, OpenError> {
     let Some(known) = relay.node.view().endpoint(endpoint) else {
         return Err(OpenError::Withheld("the endpoint is no longer registered".into()));
@@ -241,9 +241,9 @@
     relay: &Relay,
     job: &Job,
     turn: &QuarantineTurn,
-    known: &Registered,
+    known: &RegisteredEndpoint,
     resume_from: &ResumeFrom,
-    signals: &mut Signals,
+    signals: &mut EndpointSignals,
 ) -> Result<Opened, OpenError> {
     let report_failure = || {
         let news = Input::Health(known.id.clone(), HealthNews::Failed);
--- a/crates/server/src/relay/load_balancer.rs
+++ b/crates/server/src/relay/load_balancer.rs
@@ -8,7 +8,7 @@
     config::ColdStart,
     mechanism::{Disabled, Mechanism},
     placement::{ColdPacer, SenderRole, cold_interval},
-    registry::Registered,
+    registry::RegisteredEndpoint,
     units,
 };
 
@@ -55,10 +55,10 @@
 impl EndpointStats {
     /// Resets the statistics of a previous run, except the requests in flight, which end on their
     /// own.
-    fn reset_if_restarted(&mut self, endpoint: &Registered) {
-        if self.born != endpoint.born {
+    fn reset_if_restarted(&mut self, endpoint: &RegisteredEndpoint) {
+        if self.born != endpoint.started_at {
             *self = EndpointStats {
-                born: endpoint.born,
+                born: endpoint.started_at,
                 in_flight: self.in_flight,
                 ..EndpointStats::default()
             };
@@ -66,7 +66,7 @@
     }
 
     /// Whether an endpoint may be sent a request now; paces requests to a cold one.
-    fn may_send(&mut self, endpoint: &Registered, policy: &ColdStartPolicy) -> bool {
+    fn may_send(&mut self, endpoint: &RegisteredEndpoint, policy: &ColdStartPolicy) -> bool {
         let now = policy.now;
         let Some(until) = self.cold_until(endpoint, policy).filter(|until| now < *until) else {
             self.pacer = None;
@@ -83,7 +83,7 @@
     /// after an ejection.
     fn cold_until(
         &self,
-        endpoint: &Registered,
+        endpoint: &RegisteredEndpoint,
         policy: &ColdStartPolicy,
     ) -> Option<units::Instant> {
         let lasts = policy.limits.lasts;
@@ -133,9 +133,9 @@
     /// Drops cold endpoints that may not be sent a request now.
     pub(super) fn retain_sendable(
         &self,
-        mut endpoints: Vec<Registered>,
+        mut endpoints: Vec<RegisteredEndpoint>,
         policy: Option<&ColdStartPolicy>,
-    ) -> Vec<Registered> {
+    ) -> Vec<RegisteredEndpoint> {
         let mut stats_by_id = self.stats_by_id.borrow_mut();
         endpoints.retain(|endpoint| {
             let stats = stats_mut(&mut stats_by_id, &endpoint.id);
@@ -148,25 +148,25 @@
     /// The endpoint with the lowest cost; those in `avoid` only if there is no other.
     pub(super) fn select(
         &self,
-        endpoints: &[Registered],
+        endpoints: &[RegisteredEndpoint],
         avoid: &[Arc<str>],
         hall: &str,
-    ) -> Option<Registered> {
+    ) -> Option<RegisteredEndpoint> {
         let costs = endpoints.iter().map(|endpoint| (self.cost(endpoint, avoid, hall), endpoint));
         let (_, best) = costs.min_by(|a, b| a.0.total_cmp(&b.0))?;
         Some(best.clone())
     }
 
     /// Sorts endpoints, cheapest first.
-    pub(super) fn sort_by_cost(&self, endpoints: &mut Vec<Registered>, hall: &str) {
+    pub(super) fn sort_by_cost(&self, endpoints: &mut Vec<RegisteredEndpoint>, hall: &str) {
         let costs = endpoints.drain(..).map(|endpoint| (self.cost(&endpoint, &[], hall), endpoint));
-        let mut costs: Vec<(f64, Registered)> = costs.collect();
+        let mut costs: Vec<(f64, RegisteredEndpoint)> = costs.collect();
         costs.sort_by(|a, b| a.0.total_cmp(&b.0));
         endpoints.extend(costs.into_iter().map(|(_, endpoint)| endpoint));
     }
 
     /// Cost of sending another request to an endpoint, in requests in flight.
-    fn cost(&self, endpoint: &Registered, avoid: &[Arc<str>], hall: &str) -> f64 {
+    fn cost(&self, endpoint: &RegisteredEndpoint, avoid: &[Arc<str>], hall: &str) -> f64 {
         let stats = self.stats_by_id.borrow().get(&endpoint.id).cloned().unwrap_or_default();
         let ejected = self.disabled.allows(Mechanism::FailurePauses)
             && stats.ejected_until.is_some_and(|until| Instant::now() < until);
--- a/crates/server/src/relay/local_placement.rs
+++ b/crates/server/src/relay/local_placement.rs
@@ -95,7 +95,7 @@
 async fn fetch_load(relay: &Relay, endpoint: &Arc<str>) -> Option<EngineLoad> {
     let (head, body) = query_engine(relay, endpoint, relay.protocol.load_request()).await?;
     let load = relay.protocol.decode_load(&head, &body)?;
-    let known = relay.node.view().endpoint(endpoint)?.born;
+    let known = relay.node.view().endpoint(endpoint)?.started_at;
     let is_other_run = 0 < known && 0 < load.started_at && known != load.started_at;
     (!is_other_run).then_some(load)
 }
--- a/crates/server/src/relay/protocol.rs
+++ b/crates/server/src/relay/protocol.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, Request, Response, request, response};
 use http_body_util::Full;
-use trayswitch_core::{error::RequestError, placement::EngineLoad, signals::Signals};
+use trayswitch_core::{error::RequestError, placement::EngineLoad, signals::EndpointSignals};
 
 use super::Reservation;
 
@@ -158,7 +158,7 @@
     fn classify_response(&self, id: &str, head: &response::Parts) -> ResponseClass;
 
     /// Decodes the signals in an endpoint's response.
-    fn signals(&self, head: &response::Parts) -> Signals;
+    fn signals(&self, head: &response::Parts) -> EndpointSignals;
 
     /// Headers of an endpoint's response that are forwarded to the caller.
     fn response_headers(&self, head: &response::Parts) -> HeaderMap;
--- a/crates/server/src/relay/rate_limit.rs
+++ b/crates/server/src/relay/rate_limit.rs
@@ -7,8 +7,8 @@
 use trayswitch_core::{
     error::{ErrorKind, RequestError},
     node::Input,
-    registry::Registered,
-    signals::Signals,
+    registry::RegisteredEndpoint,
+    signals::EndpointSignals,
     throttle::{Permit, RateLimitReport, describe_limit},
     units,
 };
@@ -33,9 +33,9 @@
     pub(super) fn report_rate_limit(
         &self,
         service: &str,
-        endpoint: &Registered,
+        endpoint: &RegisteredEndpoint,
         sent_at: units::Instant,
-        signals: &Signals,
+        signals: &EndpointSignals,
     ) {
         let limit = match signals.limit {
             Ok(limit) => limit,
@@ -55,10 +55,10 @@
         if limit.is_some() || self.node.limit(&endpoint.id).is_some() {
             let report = RateLimitReport {
                 endpoint: endpoint.id.clone(),
-                born: endpoint.born,
+                started_at: endpoint.started_at,
                 limit,
-                asked: sent_at,
-                read: self.node.now(),
+                sent_at,
+                received_at: self.node.now(),
             };
             self.node.input(Input::RateLimitReported(report));
         }
@@ -66,7 +66,7 @@
 
     /// Open endpoints of the request's service that are not held back by cold-start pacing; rate
     /// limits are not considered.
-    pub(super) fn open_endpoints(&self, job: &Job) -> Vec<Registered> {
+    pub(super) fn open_endpoints(&self, job: &Job) -> Vec<RegisteredEndpoint> {
         let endpoints = self.node.view().open_endpoints(&job.service);
         self.load_balancer.retain_sendable(endpoints, self.cold_start_policy(job).as_ref())
     }
@@ -79,7 +79,7 @@
         job: &Job,
         kind: AttemptKind,
         tried: &[Arc<str>],
-    ) -> Result<Registered, RequestError> {
+    ) -> Result<RegisteredEndpoint, RequestError> {
         let open = self.admitted_endpoints(job, kind, tried).await?;
         let Some(cheapest) = self.load_balancer.select(&open, tried, &self.hall) else {
             return Err(no_endpoint_error(self, &job.service));
@@ -113,7 +113,7 @@
     async fn request_permit(
         &self,
         job: &Job,
-        limited: &[Registered],
+        limited: &[RegisteredEndpoint],
         max_wait: Duration,
         is_only_option: bool,
     ) -> Permit {
@@ -132,7 +132,11 @@
     }
 
     /// The endpoint that a permit was granted for, if it is still open.
-    fn granted_endpoint(&self, job: &Job, endpoint: &str) -> Result<Registered, RequestError> {
+    fn granted_endpoint(
+        &self,
+        job: &Job,
+        endpoint: &str,
+    ) -> Result<RegisteredEndpoint, RequestError> {
         let mut open = self.open_endpoints(job).into_iter();
         let still_open = open.find(|open| *open.id == *endpoint);
         still_open.ok_or_else(|| no_endpoint_error(self, &job.service))
@@ -145,7 +149,7 @@
         within_target.min(job.time_left() / QUEUE_TIME_DIVISOR)
     }
 
-    fn log_permit(&self, job: &Job, endpoint: &Registered, end: &str, took: Duration) {
+    fn log_permit(&self, job: &Job, endpoint: &RegisteredEndpoint, end: &str, took: Duration) {
         self.metrics.permit(&job.service, end);
         log::info!(
             event = EventId::PermitRequested.number(), id = job.caller.id.as_str(),
--- a/crates/server/src/relay/relocation.rs
+++ b/crates/server/src/relay/relocation.rs
@@ -7,7 +7,7 @@
 use std::{cell::Cell, rc::Rc, sync::Arc, time::Instant};
 
 use tokio::time::timeout;
-use trayswitch_core::registry::Registered;
+use trayswitch_core::registry::RegisteredEndpoint;
 
 use super::{CopyCommand, CopyReply, Job, KvCopy, Relay};
 use crate::{
@@ -69,8 +69,8 @@
     pub(super) fn start(
         relay: Rc<Relay>,
         job: Rc<Job>,
-        from: Registered,
-        to: Registered,
+        from: RegisteredEndpoint,
+        to: RegisteredEndpoint,
     ) -> Relocation {
         let progress = Rc::new(Progress::default());
         let destination = to.id.clone();
@@ -102,8 +102,8 @@
 async fn run(
     relay: Rc<Relay>,
     job: Rc<Job>,
-    from: Registered,
-    to: Registered,
+    from: RegisteredEndpoint,
+    to: RegisteredEndpoint,
     progress: Rc<Progress>,
 ) -> RelocationResult {
     let source = from.address;
@@ -151,7 +151,7 @@
 async fn send_copy_command(
     relay: &Relay,
     service: &str,
-    from: &Registered,
+    from: &RegisteredEndpoint,
     command: &CopyCommand<'_>,
 ) -> Result<CopyReply, String> {
     let reply = async {
--- a/crates/server/src/relay/signals.rs
+++ b/crates/server/src/relay/signals.rs
@@ -7,7 +7,7 @@
 
 use http::response;
 use trayswitch_core::{
-    backoff::Rejection, node::Input, registry::Registered, signals::Signals, units,
+    backoff::Rejection, node::Input, registry::RegisteredEndpoint, signals::EndpointSignals, units,
 };
 
 use super::Relay;
@@ -18,10 +18,10 @@
     pub(super) fn on_response(
         &self,
         service: &str,
-        endpoint: &Registered,
+        endpoint: &RegisteredEndpoint,
         sent_at: units::Instant,
         head: &response::Parts,
-    ) -> Signals {
+    ) -> EndpointSignals {
         let signals = self.decode_signals(service, endpoint, head);
         self.report_rate_limit(service, endpoint, sent_at, &signals);
         self.report_state(endpoint, &signals);
@@ -34,7 +34,7 @@
     pub(super) fn on_control_response(
         &self,
         service: &str,
-        endpoint: &Registered,
+        endpoint: &RegisteredEndpoint,
         sent_at: units::Instant,
         head: &response::Parts,
     ) {
@@ -45,12 +45,12 @@
         self.report_state(endpoint, &signals);
     }
 
-    fn report_state(&self, endpoint: &Registered, signals: &Signals) {
+    fn report_state(&self, endpoint: &RegisteredEndpoint, signals: &EndpointSignals) {
         if signals.is_leaving() {
             self.report_leaving(endpoint);
         }
         if let Ok(Some(left)) = signals.cold_for {
-            let (endpoint, started_at) = (endpoint.id.clone(), endpoint.born);
+            let (endpoint, started_at) = (endpoint.id.clone(), endpoint.started_at);
             self.node.input(Input::Cold { endpoint, started_at, left });
         }
         if signals.backoff().is_some() {
@@ -62,10 +62,10 @@
     pub(super) fn on_rejection(
         &self,
         service: &str,
-        endpoint: &Registered,
+        endpoint: &RegisteredEndpoint,
         sent_at: units::Instant,
         head: &response::Parts,
-    ) -> Signals {
+    ) -> EndpointSignals {
         let signals = self.on_response(service, endpoint, sent_at, head);
         if signals.backoff().is_none() {
             self.report_rejection(endpoint, &signals);
@@ -73,18 +73,18 @@
         signals
     }
 
-    fn report_leaving(&self, endpoint: &Registered) {
+    fn report_leaving(&self, endpoint: &RegisteredEndpoint) {
         let known = self.node.view().endpoint(&endpoint.id);
-        if known.is_some_and(|known| known.open) {
-            let (endpoint, started_at) = (endpoint.id.clone(), endpoint.born);
+        if known.is_some_and(|known| known.available) {
+            let (endpoint, started_at) = (endpoint.id.clone(), endpoint.started_at);
             self.node.input(Input::Leaving { endpoint, started_at });
         }
     }
 
-    fn report_rejection(&self, endpoint: &Registered, signals: &Signals) {
+    fn report_rejection(&self, endpoint: &RegisteredEndpoint, signals: &EndpointSignals) {
         self.node.input(Input::Rejected(Rejection {
             endpoint: endpoint.id.clone(),
-            started_at: endpoint.born,
+            started_at: endpoint.started_at,
             retry_after: signals.backoff(),
         }));
     }
@@ -93,9 +93,9 @@
     fn decode_signals(
         &self,
         service: &str,
-        endpoint: &Registered,
+        endpoint: &RegisteredEndpoint,
         head: &response::Parts,
-    ) -> Signals {
+    ) -> EndpointSignals {
         let signals = self.protocol.signals(head);
         let record_signal = |name: &str, presence: Result<bool, &dyn fmt::Display>| match presence {
             Ok(false) => {}
--- a/crates/server/src/relay/tests/cold_start.rs
+++ b/crates/server/src/relay/tests/cold_start.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use trayswitch_core::{
-    config::ColdStart, mechanism::Disabled, placement::SenderRole, registry::Registered,
+    config::ColdStart, mechanism::Disabled, placement::SenderRole, registry::RegisteredEndpoint,
     units::Instant,
 };
 
@@ -16,16 +16,16 @@
 const OVERLOAD_RPS: usize = 35;
 const SECOND: Duration = Duration::from_secs(1);
 
-fn endpoint(n: usize, cold_until: Option<Instant>) -> Registered {
-    Registered {
+fn endpoint(n: usize, cold_until: Option<Instant>) -> RegisteredEndpoint {
+    RegisteredEndpoint {
         id: format!("e{n}").into(),
         service: "desk".into(),
         address: format!("10.0.0.{}:80", n + 1).parse().unwrap(),
         hall: "h".into(),
-        open: true,
-        out: false,
+        available: true,
+        hall_out: false,
         cold_until,
-        born: 0,
+        started_at: 0,
         sequence: 1,
     }
 }
@@ -38,7 +38,7 @@
 /// Sends a request if an endpoint may take it; returns the endpoint.
 fn send(
     load_balancer: &LoadBalancer,
-    endpoints: &[Registered],
+    endpoints: &[RegisteredEndpoint],
     policy: &ColdStartPolicy,
 ) -> Option<Arc<str>> {
     let open = load_balancer.retain_sendable(endpoints.to_vec(), Some(policy));
--- a/crates/server/src/relay/tests/protocol.rs
+++ b/crates/server/src/relay/tests/protocol.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, HeaderValue, Request, Response, header, request, response};
 use http_body_util::Full;
 use trayswitch_core::{
-    backoff::RetryAfter, error::RequestError, placement::EngineLoad, signals::Signals,
+    backoff::RetryAfter, error::RequestError, placement::EngineLoad, signals::EndpointSignals,
     throttle::RateLimit,
 };
 
@@ -109,11 +109,11 @@
         }
     }
 
-    fn signals(&self, head: &response::Parts) -> Signals {
+    fn signals(&self, head: &response::Parts) -> EndpointSignals {
         let values = |name| head.headers.get_all(name).iter().map(text);
-        Signals {
-            limit: RateLimit::read(values(LIMIT)),
-            retry_after: RetryAfter::read(values(RETRY_AFTER), None, SystemTime::UNIX_EPOCH),
+        EndpointSignals {
+            limit: RateLimit::from_values(values(LIMIT)),
+            retry_after: RetryAfter::from_values(values(RETRY_AFTER), None, SystemTime::UNIX_EPOCH),
             leaving: Ok(head.headers.contains_key(LEAVING)),
             cold_for: Ok(None),
         }
--- a/crates/server/src/relay/tests/test_daemon.rs
+++ b/crates/server/src/relay/tests/test_daemon.rs
@@ -309,8 +309,10 @@
         let endpoint = FakeEndpoint::open();
         let record = heartbeat(service, name, &endpoint);
         self.node.input(Input::Heartbeat(EndpointRecord { born: 1, ..record }));
-        self.wait_until(|| self.node.view().endpoint(name).is_some_and(|known| known.born == 1))
-            .await;
+        self.wait_until(|| {
+            self.node.view().endpoint(name).is_some_and(|known| known.started_at == 1)
+        })
+        .await;
         endpoint
     }
 
@@ -328,7 +330,7 @@
     }
 
     fn is_open(&self, name: &str) -> Option<bool> {
-        self.node.view().endpoint(name).map(|endpoint| endpoint.open)
+        self.node.view().endpoint(name).map(|endpoint| endpoint.available)
     }
 
     /// Yields to other tasks until `condition` holds.
--- a/crates/server/src/runtime/mod.rs
+++ b/crates/server/src/runtime/mod.rs
@@ -31,7 +31,7 @@
     node::{ActiveConfig, CallId, Clocks, Input, Node, NodeOptions, NodeReply, Output, VmName},
     placement::Request,
     quarantine::{CrashCounts, DigestKey, RequestDigest, RequestIdentity},
-    registry::Registered,
+    registry::RegisteredEndpoint,
     state::HallsOut,
     throttle::RateLimit,
     units::{self, UnixMillis},
@@ -277,14 +277,15 @@
         self.0.metrics.halls_out(halls.names.len());
     }
 
-    fn registered(&self, endpoints: Vec<Registered>) {
+    fn registered(&self, endpoints: Vec<RegisteredEndpoint>) {
         for endpoint in &endpoints {
             let known = self.0.view.endpoint(&endpoint.id);
-            let known = known.map(|known| Registered { sequence: endpoint.sequence, ..known });
+            let known =
+                known.map(|known| RegisteredEndpoint { sequence: endpoint.sequence, ..known });
             if known.as_ref() != Some(endpoint) {
                 log::info!(
                     event = EventId::EndpointNews.number(), endpoint = &*endpoint.id,
-                    service = &*endpoint.service, open = endpoint.open,
+                    service = &*endpoint.service, open = endpoint.available,
                     sequence = endpoint.sequence;
                     "an endpoint is new or has changed"
                 );
--- a/crates/server/src/runtime/questions.rs
+++ b/crates/server/src/runtime/questions.rs
@@ -45,7 +45,7 @@
         max_wait: Duration,
     ) -> Permit {
         let call = self.0.view.next_call();
-        let ask = PermitRequest { asker: call, service: service.into(), endpoints, max_wait };
+        let ask = PermitRequest { requester: call, service: service.into(), endpoints, max_wait };
         match self.ask(call, NodeCall::Permit(ask), max_wait + LEAVE_SLACK).await {
             Some(NodeReply::Permit(permit)) => permit,
             _ => Permit::Denied { retry_after: LEAVE_SLACK },
--- a/crates/server/src/runtime/sight.rs
+++ b/crates/server/src/runtime/sight.rs
@@ -67,7 +67,7 @@
     metrics.limited_endpoints(limited);
     let limit = describe_limit(limit);
     log::info!(
-        event = EventId::LimitChanged.number(), endpoint = endpoint, end = change.name(),
+        event = EventId::LimitChanged.number(), endpoint = endpoint, end = change.as_str(),
         limit = limit.as_str();
         "an endpoint says how many requests a second it takes from all daemons"
     );
--- a/crates/server/src/runtime/view.rs
+++ b/crates/server/src/runtime/view.rs
@@ -10,7 +10,7 @@
 use trayswitch_clock as clock;
 use trayswitch_core::{
     node::{ActiveConfig, CallId, EntryDaemons},
-    registry::Registered,
+    registry::RegisteredEndpoint,
     units::Instant,
 };
 
@@ -18,7 +18,7 @@
 #[derive(Default)]
 pub struct View {
     active_config: RefCell<Option<Arc<ActiveConfig>>>,
-    endpoints: RefCell<HashMap<Arc<str>, Registered>>,
+    endpoints: RefCell<HashMap<Arc<str>, RegisteredEndpoint>>,
     by_service: RefCell<BTreeMap<Arc<str>, Vec<Arc<str>>>>,
     confirmed: Cell<Option<Instant>>,
     fresh: Cell<bool>,
@@ -46,16 +46,16 @@
     }
 
     /// The endpoint of this name.
-    pub fn endpoint(&self, id: &str) -> Option<Registered> {
+    pub fn endpoint(&self, id: &str) -> Option<RegisteredEndpoint> {
         self.endpoints.borrow().get(id).cloned()
     }
 
     /// The endpoints of a service that may get new work.
-    pub fn open_endpoints(&self, service: &str) -> Vec<Registered> {
+    pub fn open_endpoints(&self, service: &str) -> Vec<RegisteredEndpoint> {
         let endpoints = self.endpoints.borrow();
         let by_service = self.by_service.borrow();
         let ids = by_service.get(service).map_or(&[][..], Vec::as_slice);
-        ids.iter().filter_map(|id| endpoints.get(id)).filter(|e| e.open).cloned().collect()
+        ids.iter().filter_map(|id| endpoints.get(id)).filter(|e| e.available).cloned().collect()
     }
 
     /// Whether all endpoints of a service are in data halls that are out of service.
@@ -64,7 +64,7 @@
         let by_service = self.by_service.borrow();
         let ids = by_service.get(service).map_or(&[][..], Vec::as_slice);
         let mut known = ids.iter().filter_map(|id| endpoints.get(id)).peekable();
-        known.peek().is_some() && known.all(|endpoint| endpoint.out)
+        known.peek().is_some() && known.all(|endpoint| endpoint.hall_out)
     }
 
     /// Whether callers should be sent here.
@@ -129,7 +129,7 @@
         self.fresh.replace(fresh)
     }
 
-    pub(super) fn set_endpoints(&self, registered: Vec<Registered>) {
+    pub(super) fn set_endpoints(&self, registered: Vec<RegisteredEndpoint>) {
         let mut by_service: BTreeMap<Arc<str>, Vec<Arc<str>>> = BTreeMap::new();
         for endpoint in &registered {
             by_service.entry(endpoint.service.clone()).or_default().push(endpoint.id.clone());
--- a/crates/trayswitchd/src/callers/context.rs
+++ b/crates/trayswitchd/src/callers/context.rs
@@ -16,11 +16,11 @@
 use trayswitch_core::{
     backoff::Rejection,
     error::{ErrorKind, Outcome, RequestError},
-    limits::RetryBudget,
     node::{ActiveConfig, CallId, Input, NodeCall, NodeReply, Placement},
     placement,
     quarantine::{DigestKey, RequestDigest, RequestIdentity},
-    signals::Signals,
+    retry_budget::RetryBudget,
+    signals::EndpointSignals,
     throttle::{RateLimit, RateLimitReport},
     units,
     wire::HealthNews,
@@ -168,7 +168,7 @@
         self.note_signals(endpoint, signals, false);
     }
 
-    fn note_signals(&self, endpoint: &Arc<str>, signals: &Signals, is_rejected: bool) {
+    fn note_signals(&self, endpoint: &Arc<str>, signals: &EndpointSignals, is_rejected: bool) {
         let unreadable = |what: &str, problem: &dyn fmt::Display| {
             log::warn!("{} {endpoint}: {what}: {problem}", EventId::SignalUnreadable);
         };
@@ -192,7 +192,13 @@
     fn note_limit(&self, endpoint: &Arc<str>, asked: units::Instant, limit: Option<RateLimit>) {
         if limit.is_some() || self.node.view().has_limits() {
             let (endpoint, born) = (endpoint.clone(), UNKNOWN_RUN);
-            let word = RateLimitReport { endpoint, born, limit, asked, read: self.node.now() };
+            let word = RateLimitReport {
+                endpoint,
+                started_at: born,
+                limit,
+                sent_at: asked,
+                received_at: self.node.now(),
+            };
             self.node.input(Input::RateLimitReported(word));
         }
     }
--- a/crates/trayswitchd/src/endpoint/mod.rs
+++ b/crates/trayswitchd/src/endpoint/mod.rs
@@ -12,7 +12,7 @@
 
 use trayswitch_core::{
     delivery::{Frame, GenerationId},
-    signals::Signals,
+    signals::EndpointSignals,
 };
 use ureq::Response;
 
@@ -59,7 +59,7 @@
     /// The answer.
     pub(crate) result: Result<T, EndpointError>,
     /// What it said of itself; nothing where there was no answer to read it from.
-    pub(crate) signals: Option<Signals>,
+    pub(crate) signals: Option<EndpointSignals>,
 }
 
 impl<T> Reply<T> {
--- a/crates/trayswitchd/src/endpoint/signals.rs
+++ b/crates/trayswitchd/src/endpoint/signals.rs
@@ -2,7 +2,7 @@
 
 use std::time::SystemTime;
 
-use trayswitch_core::{backoff::RetryAfter, signals::Signals, throttle::RateLimit};
+use trayswitch_core::{backoff::RetryAfter, signals::EndpointSignals, throttle::RateLimit};
 use ureq::Response;
 
 /// How many requests a second it takes.
@@ -15,15 +15,15 @@
 const OVERLOADED: [u16; 2] = [429, 503];
 
 /// Reads the signals in an answer's head.
-pub(super) fn read(response: &Response) -> Signals {
+pub(super) fn read(response: &Response) -> EndpointSignals {
     let retry_after = if OVERLOADED.contains(&response.status()) {
         let values = response.all("Retry-After").into_iter();
-        RetryAfter::read(values, response.header("Date"), SystemTime::now())
+        RetryAfter::from_values(values, response.header("Date"), SystemTime::now())
     } else {
         Ok(None)
     };
-    Signals {
-        limit: RateLimit::read(response.all(LIMIT).into_iter()),
+    EndpointSignals {
+        limit: RateLimit::from_values(response.all(LIMIT).into_iter()),
         retry_after,
         leaving: Ok(response.header(STATE) == Some(LEAVING)),
         cold_for: Ok(None),
--- a/crates/trayswitchd/src/endpoint/tests.rs
+++ b/crates/trayswitchd/src/endpoint/tests.rs
@@ -117,7 +117,7 @@
     }
 }
 
-fn signals(bytes: &'static [u8]) -> Option<Signals> {
+fn signals(bytes: &'static [u8]) -> Option<EndpointSignals> {
     reply(answering(bytes)).signals
 }
 
@@ -150,7 +150,7 @@
         b"HTTP/1.1 200 OK\r\nRetry-After: 2.5\r\nX-Endpoint-State: leaving\r\nContent-Length: 0\r\n\r\n",
     );
 
-    let backoff = |signals: Option<Signals>| signals.unwrap().backoff();
+    let backoff = |signals: Option<EndpointSignals>| signals.unwrap().backoff();
     expect_that!(backoff(rejected), some(eq(Duration::from_millis(2_500))));
     expect_that!(backoff(answered), none());
     expect_false!(rejected.unwrap().is_leaving());
--- a/crates/trayswitchd/src/node/actor.rs
+++ b/crates/trayswitchd/src/node/actor.rs
@@ -149,7 +149,7 @@
             Output::Limit { endpoint, limit, change, limited } => {
                 self.view.set_has_limits(0 < limited);
                 let limit = limit.map_or_else(|| "none".to_owned(), |limit| limit.to_string());
-                let (event, change) = (EventId::LimitChanged, change.name());
+                let (event, change) = (EventId::LimitChanged, change.as_str());
                 log::info!("{event} {endpoint}: {change}, {limit} requests a second");
             }
             Output::Backoff { endpoint, left, .. } => {
