--- a/crates/server/src/relay/protocol.rs
+++ b/crates/server/src/relay/protocol.rs
@@ -167,7 +167,7 @@
     fn error_response(&self, id: &str, error: &RequestError) -> Response<Bytes>;
 
     /// The request that copies a generation's KV cache.
-    fn copy_request(&self, order: &CopyCommand<'_>) -> Request<Full<Bytes>>;
+    fn copy_request(&self, command: &CopyCommand<'_>) -> Request<Full<Bytes>>;
 
     /// The request that frees a copy on the source and the target engine.
     fn free_request(&self, handle: &str) -> Request<Full<Bytes>>;
--- a/crates/server/src/relay/tests/backoff.rs
+++ b/crates/server/src/relay/tests/backoff.rs
@@ -13,7 +13,7 @@
 };
 
 /// Back-off in seconds, longer than any test.
-const LONG: &str = "100";
+const LONG_BACKOFF_SECS: &str = "100";
 /// Requests sent in sequence.
 const REQUESTS: u32 = 40;
 
@@ -47,7 +47,7 @@
 }
 
 fn reject_with_long_backoff(arrival: Arrival) -> bool {
-    arrival.reject(LONG);
+    arrival.reject(LONG_BACKOFF_SECS);
     false
 }
 
@@ -158,7 +158,7 @@
         for (service, path) in [("desk", "/soon/x"), ("engines", "/brief/x")] {
             let daemon = TestDaemon::open().await;
             let mut endpoint = daemon.register(service, "e1").await;
-            send_rejected(&daemon, path, &mut endpoint, LONG).await;
+            send_rejected(&daemon, path, &mut endpoint, LONG_BACKOFF_SECS).await;
 
             let refused = daemon.send(path, "r2").await;
 
@@ -180,12 +180,12 @@
                 // The generation waits for a placement itself; the call is sent again by the test.
                 backing_off.next_arrival().await.answer(200, "id: 1\ndata: token 1\n\n");
             };
-            let asks = async {
+            let requests = async {
                 let first = daemon.send(path, "r1").await;
                 if first.head.status.is_success() { first } else { daemon.send(path, "r2").await }
             };
 
-            let (answer, ()) = join!(asks, first);
+            let (answer, ()) = join!(requests, first);
 
             expect_that!(text(answer).await, ok(contains_substring("token 1")), "{path}");
         }
@@ -199,8 +199,8 @@
         let mut endpoint = daemon.register("desk", "e1").await;
         send_rejected(&daemon, "/once/x", &mut endpoint, "0.05").await;
 
-        let asks = async { join!(daemon.send("/once/x", "r2"), daemon.send("/once/x", "r3")) };
-        let ((second, third), early) = join!(asks, async {
+        let requests = async { join!(daemon.send("/once/x", "r2"), daemon.send("/once/x", "r3")) };
+        let ((second, third), early) = join!(requests, async {
             let first = endpoint.next_arrival().await;
             daemon.wait_for_in_progress(2).await;
             let early = !endpoint.is_idle();
@@ -220,7 +220,7 @@
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut former = daemon.register("desk", "e1").await;
-        send_rejected(&daemon, "/once/x", &mut former, LONG).await;
+        send_rejected(&daemon, "/once/x", &mut former, LONG_BACKOFF_SECS).await;
         let mut endpoint = daemon.restart_endpoint("desk", "e1").await;
 
         let (answer, ()) = join!(daemon.send("/once/x", "r2"), async {
@@ -238,7 +238,7 @@
         let daemon = TestDaemon::without_scheduler().await;
         let mut backing_off = daemon.register("engines", "wary").await;
         let mut other = daemon.register("engines", "other").await;
-        backing_off.set_load_retry_after(LONG);
+        backing_off.set_load_retry_after(LONG_BACKOFF_SECS);
         other.set_capacity(1_000, true);
 
         let (answer, ()) = join!(daemon.send("/chat/x", "r1"), async {
@@ -257,7 +257,7 @@
     run_test(async {
         let daemon = TestDaemon::open().await;
         let mut to = daemon.register("engines", "to").await;
-        send_rejected(&daemon, "/brief/x", &mut to, LONG).await;
+        send_rejected(&daemon, "/brief/x", &mut to, LONG_BACKOFF_SECS).await;
         let mut from = daemon.register("engines", "from").await;
         let (answer, stream) = join!(daemon.send("/chat/x", "r2"), async {
             let stream = from.next_arrival().await.stream();
@@ -306,12 +306,12 @@
         let mut backing_off = daemon.register("desk", "wary").await;
         let mut other = daemon.register("desk", "other").await;
 
-        let crossed = |arrival: Arrival| {
-            arrival.with_retry_after(LONG).respond_as_another_request();
+        let respond_mismatched = |arrival: Arrival| {
+            arrival.with_retry_after(LONG_BACKOFF_SECS).respond_as_another_request();
             false
         };
         let sent_to_backing_off =
-            send_all(&daemon, "/again/x", &mut backing_off, &mut other, crossed).await;
+            send_all(&daemon, "/again/x", &mut backing_off, &mut other, respond_mismatched).await;
 
         expect_that!(sent_to_backing_off, le(1));
     });
--- a/crates/server/src/relay/tests/cancellation.rs
+++ b/crates/server/src/relay/tests/cancellation.rs
@@ -17,7 +17,7 @@
     endpoint: &mut FakeEndpoint,
 ) -> Arrival {
     select! {
-        _ = daemon.send(path, "left") => panic!("nobody has answered"),
+        _ = daemon.send(path, "left") => panic!("unexpected response"),
         arrival = endpoint.next_arrival() => arrival,
     }
 }
@@ -25,21 +25,21 @@
 /// Sends a request and disconnects when `condition` completes.
 async fn disconnect_once(daemon: &TestDaemon, path: &str, condition: impl Future<Output = ()>) {
     select! {
-        _ = daemon.send(path, "left") => panic!("nobody has answered"),
+        _ = daemon.send(path, "left") => panic!("unexpected response"),
         () = condition => {}
     }
 }
 
 /// Expects that the next request is the only one that reaches the engine.
 async fn expect_only_next_request(daemon: &TestDaemon, path: &str, engine: &mut FakeEndpoint) {
-    let (answer, arrived) = join!(daemon.send(path, "next"), async {
+    let (answer, arrived_id) = join!(daemon.send(path, "next"), async {
         let arrival = engine.next_arrival().await;
         let id = arrival.id.clone();
         arrival.stream_all([1]).await;
         id
     });
 
-    expect_that!(arrived, eq("next"));
+    expect_that!(arrived_id, eq("next"));
     expect_that!(text(answer).await, ok(eq(&events_to(1))));
     expect_true!(engine.is_idle());
 }
@@ -99,10 +99,10 @@
 
         disconnect_once(&daemon, "/chat/", daemon.wait_for_in_progress(2)).await;
         daemon.wait_for_in_progress(1).await;
-        let rest = join!(reader.read_rest(), async { stream.finish() }).0;
+        let body = join!(reader.read_rest(), async { stream.finish() }).0;
         daemon.wait_until_idle().await;
 
-        expect_that!(rest, ok(anything()));
+        expect_that!(body, ok(anything()));
         expect_only_next_request(&daemon, "/chat/", &mut engine).await;
     });
 }
@@ -128,7 +128,7 @@
             (daemon.register("desk", "d1").await, daemon.register("desk", "d2").await);
 
         let mut second = select! {
-            _ = daemon.send("/again/", "left") => panic!("nobody has answered"),
+            _ = daemon.send("/again/", "left") => panic!("unexpected response"),
             second = async {
                 next_arrival_at(&mut d1, &mut d2).await.answer(500, "failed");
                 next_arrival_at(&mut d1, &mut d2).await
--- a/crates/server/src/relay/tests/cold_start.rs
+++ b/crates/server/src/relay/tests/cold_start.rs
@@ -42,15 +42,15 @@
     policy: &ColdStartPolicy,
 ) -> Option<Arc<str>> {
     let open = load_balancer.retain_sendable(endpoints.to_vec(), Some(policy));
-    let chosen = load_balancer.select(&open, &[], "h")?;
-    drop(load_balancer.start_request(&chosen.id, Some(policy)));
-    Some(chosen.id)
+    let selected = load_balancer.select(&open, &[], "h")?;
+    drop(load_balancer.start_request(&selected.id, Some(policy)));
+    Some(selected.id)
 }
 
-fn most_in_a_second(times: &[Instant]) -> usize {
+fn most_in_a_second(sent_at: &[Instant]) -> usize {
     let mut window = VecDeque::new();
     let mut most = 0;
-    for at in times {
+    for at in sent_at {
         window.push_back(*at);
         while window.front().is_some_and(|first: &Instant| first.after(SECOND) <= *at) {
             window.pop_front();
@@ -67,16 +67,16 @@
         let all: Vec<LoadBalancer> =
             (0..daemons).map(|_| LoadBalancer::new(Disabled::default())).collect();
         let endpoints = [endpoint(0, Some(Instant(0).after(SECOND * 5)))];
-        let mut times = Vec::new();
+        let mut sent_at = Vec::new();
         for at in 0..500 {
             let now = Instant(at * 10_000);
             for load_balancer in &all {
-                times.extend(send(load_balancer, &endpoints, &policy(daemons, now)).map(|_| now));
+                sent_at.extend(send(load_balancer, &endpoints, &policy(daemons, now)).map(|_| now));
             }
         }
 
-        expect_that!(most_in_a_second(&times), le(OVERLOAD_RPS), "{daemons} daemons");
-        expect_that!(times.len(), ge(25), "{daemons} daemons: used in 5 s");
+        expect_that!(most_in_a_second(&sent_at), le(OVERLOAD_RPS), "{daemons} daemons");
+        expect_that!(sent_at.len(), ge(25), "{daemons} daemons: used in 5 s");
     }
 }
 
@@ -85,11 +85,11 @@
     fastrand::seed(8);
     let load_balancer = LoadBalancer::new(Disabled::default());
     let endpoints = [endpoint(0, Some(Instant(0).after(SECOND))), endpoint(1, None)];
-    let chosen: Vec<Arc<str>> =
+    let selected: Vec<Arc<str>> =
         (0..50).filter_map(|_| send(&load_balancer, &endpoints, &policy(64, Instant(0)))).collect();
 
-    expect_that!(chosen.len(), eq(50));
-    expect_that!(chosen.iter().filter(|id| &***id == "e0").count(), le(1));
+    expect_that!(selected.len(), eq(50));
+    expect_that!(selected.iter().filter(|id| &***id == "e0").count(), le(1));
 }
 
 #[gtest]
@@ -99,9 +99,10 @@
     let endpoints = [endpoint(0, None)];
     load_balancer.record_outcome(&"e0".into(), Outcome::Unreachable);
 
-    let chosen = (0..50).filter_map(|_| send(&load_balancer, &endpoints, &policy(64, Instant(0))));
+    let selected =
+        (0..50).filter_map(|_| send(&load_balancer, &endpoints, &policy(64, Instant(0))));
 
-    expect_that!(chosen.count(), le(1));
+    expect_that!(selected.count(), le(1));
 }
 
 #[gtest]
@@ -112,7 +113,7 @@
     send(&load_balancer, &endpoints, &policy(64, Instant(0)));
 
     let warm = policy(64, Instant(0).after(SECOND));
-    let chosen = (0..50).filter_map(|_| send(&load_balancer, &endpoints, &warm));
+    let selected = (0..50).filter_map(|_| send(&load_balancer, &endpoints, &warm));
 
-    expect_that!(chosen.count(), eq(50));
+    expect_that!(selected.count(), eq(50));
 }
--- a/crates/server/src/relay/tests/fake_endpoint.rs
+++ b/crates/server/src/relay/tests/fake_endpoint.rs
@@ -126,9 +126,9 @@
     format!("id: {id}\ndata: token {id}\n\n")
 }
 
-/// The encoded events 1 to `last`.
-pub(super) fn events_to(last: u64) -> String {
-    (1..=last).map(event).collect()
+/// The encoded events 1 to `is_final`.
+pub(super) fn events_to(is_final: u64) -> String {
+    (1..=is_final).map(event).collect()
 }
 
 /// An event stream in progress.
@@ -171,7 +171,7 @@
     /// The request id of the generation.
     pub(super) id: String,
     /// Whether this is the final copy.
-    pub(super) last: bool,
+    pub(super) is_final: bool,
     answer: oneshot::Sender<Response<Body>>,
 }
 
@@ -243,8 +243,8 @@
             return;
         }
         if req.uri().path().starts_with(COPY_PATH) {
-            let last = req.uri().path().ends_with("/last");
-            let _ = self.copies.send(PendingCopy { id, last, answer });
+            let is_final = req.uri().path().ends_with("/last");
+            let _ = self.copies.send(PendingCopy { id, is_final, answer });
             return;
         }
         let arrival = Arrival {
@@ -346,12 +346,12 @@
 
     /// The next attempt.
     pub(super) async fn next_arrival(&mut self) -> Arrival {
-        self.arrivals.recv().await.expect("the endpoint lives as long as the test")
+        self.arrivals.recv().await.expect("the endpoint outlives the test")
     }
 
     /// The next copy command.
     pub(super) async fn next_copy(&mut self) -> PendingCopy {
-        self.copies.recv().await.expect("the endpoint lives as long as the test")
+        self.copies.recv().await.expect("the endpoint outlives the test")
     }
 
     /// Whether no copy command is pending.
@@ -361,7 +361,7 @@
 
     /// The id of the next copy that is freed.
     pub(super) async fn next_freed(&mut self) -> String {
-        self.freed.recv().await.expect("the endpoint lives as long as the test")
+        self.freed.recv().await.expect("the endpoint outlives the test")
     }
 
     /// Whether no attempt is pending.
--- a/crates/server/src/relay/tests/generations.rs
+++ b/crates/server/src/relay/tests/generations.rs
@@ -10,7 +10,7 @@
 };
 
 /// A generation on either endpoint whose caller has read the events 1 to `last`.
-async fn running(
+async fn start_stream(
     daemon: &TestDaemon,
     path: &str,
     last: u64,
@@ -50,7 +50,7 @@
         let (mut e1, mut e2) =
             (daemon.register("engines", "e1").await, daemon.register("engines", "e2").await);
 
-        let (reader, stream) = running(&daemon, "/chat/", 3, &mut e1, &mut e2).await;
+        let (reader, stream) = start_stream(&daemon, "/chat/", 3, &mut e1, &mut e2).await;
         stream.abort().await;
 
         expect_that!(reader.read_rest().await, err(anything()));
@@ -65,15 +65,15 @@
         let (mut e1, mut e2) =
             (daemon.register("engines", "e1").await, daemon.register("engines", "e2").await);
 
-        let (reader, stream) = running(&daemon, "/recap/", 3, &mut e1, &mut e2).await;
-        let (whole, after) = join!(reader.read_rest(), async {
+        let (reader, stream) = start_stream(&daemon, "/recap/", 3, &mut e1, &mut e2).await;
+        let (body, last_event_id) = join!(reader.read_rest(), async {
             stream.send_bytes("id: 4\ndata: tok").await;
             stream.abort().await;
             next_arrival_at(&mut e1, &mut e2).await.stream_all(4..=6).await
         });
 
-        expect_that!(after, some(eq(3)));
-        expect_that!(whole, ok(eq(&events_to(6))));
+        expect_that!(last_event_id, some(eq(3)));
+        expect_that!(body, ok(eq(&events_to(6))));
     });
 }
 
@@ -84,13 +84,13 @@
         let (mut e1, mut e2) =
             (daemon.register("engines", "e1").await, daemon.register("engines", "e2").await);
 
-        let (reader, stream) = running(&daemon, "/recap/", 3, &mut e1, &mut e2).await;
-        let (whole, ()) = join!(reader.read_rest(), async {
+        let (reader, stream) = start_stream(&daemon, "/recap/", 3, &mut e1, &mut e2).await;
+        let (body, ()) = join!(reader.read_rest(), async {
             stream.abort().await;
             next_arrival_at(&mut e1, &mut e2).await.stream_all(2..=5).await;
         });
 
-        expect_that!(whole, ok(eq(&events_to(5))));
+        expect_that!(body, ok(eq(&events_to(5))));
     });
 }
 
--- a/crates/server/src/relay/tests/local_placement.rs
+++ b/crates/server/src/relay/tests/local_placement.rs
@@ -37,13 +37,13 @@
 fn less_loaded_engine_grants_reservation() {
     run_test(async {
         let daemon = TestDaemon::without_scheduler().await;
-        let mut roomy = daemon.register("engines", "e1").await;
-        let crowded = daemon.register("engines", "e2").await;
-        roomy.set_capacity(TIGHT, true);
-        crowded.set_capacity(TIGHT + 4_000, true);
+        let mut less_loaded = daemon.register("engines", "e1").await;
+        let more_loaded = daemon.register("engines", "e2").await;
+        less_loaded.set_capacity(TIGHT, true);
+        more_loaded.set_capacity(TIGHT + 4_000, true);
 
         let (answer, reservation) = join!(daemon.send("/chat/", "r1"), async {
-            let arrival = roomy.next_arrival().await;
+            let arrival = less_loaded.next_arrival().await;
             let reservation = arrival.reservation.clone();
             let stream = arrival.stream();
             stream.send_events(1..=3).await;
@@ -54,8 +54,8 @@
         expect_that!(text(answer).await, ok(eq(&events_to(3))));
         expect_that!(reservation, some(eq("kept")));
         // The prompt of 1,000 tokens plus the initial output.
-        expect_that!(roomy.reserved_tokens(), elements_are![gt(&1_000)]);
-        expect_that!(crowded.reserved_tokens(), is_empty());
+        expect_that!(less_loaded.reserved_tokens(), elements_are![gt(&1_000)]);
+        expect_that!(more_loaded.reserved_tokens(), is_empty());
     });
 }
 
@@ -87,17 +87,17 @@
         let mut engine = daemon.register("engines", "e1").await;
         engine.set_capacity(ENGINE_KV_TOKENS, false);
 
-        let (answer, idle) = join!(daemon.send("/chat/", "r1"), async {
+        let (answer, was_idle) = join!(daemon.send("/chat/", "r1"), async {
             while engine.reserved_tokens().len() < 3 {
                 tokio::task::yield_now().await;
             }
-            let idle = engine.is_idle();
+            let was_idle = engine.is_idle();
             engine.set_capacity(0, true);
             engine.next_arrival().await.stream().finish();
-            idle
+            was_idle
         });
 
         expect_that!(text(answer).await, ok(eq("")));
-        expect_that!(idle, eq(true));
+        expect_that!(was_idle, eq(true));
     });
 }
--- a/crates/server/src/relay/tests/protocol.rs
+++ b/crates/server/src/relay/tests/protocol.rs
@@ -132,10 +132,10 @@
             .unwrap()
     }
 
-    fn copy_request(&self, order: &CopyCommand<'_>) -> Request<Full<Bytes>> {
-        let last = if order.is_final { "/last" } else { "" };
-        Request::post(format!("{COPY_PATH}{last}"))
-            .header(ID, order.id)
+    fn copy_request(&self, command: &CopyCommand<'_>) -> Request<Full<Bytes>> {
+        let suffix = if command.is_final { "/last" } else { "" };
+        Request::post(format!("{COPY_PATH}{suffix}"))
+            .header(ID, command.id)
             .body(Full::default())
             .unwrap()
     }
--- a/crates/server/src/relay/tests/quarantine.rs
+++ b/crates/server/src/relay/tests/quarantine.rs
@@ -13,7 +13,7 @@
 };
 
 /// Marks the path of a request that crashes its endpoint.
-const DEADLY: &str = "deadly";
+const CRASH_MARKER: &str = "deadly";
 /// Number of endpoints in the pool.
 const ENDPOINTS: usize = 4;
 
@@ -47,7 +47,7 @@
     async fn serve(&mut self) {
         loop {
             let (at, arrival) = self.next_arrival().await;
-            if arrival.path.contains(DEADLY) {
+            if arrival.path.contains(CRASH_MARKER) {
                 self.crash(at, arrival).await;
             } else {
                 serve(arrival).await;
@@ -86,14 +86,14 @@
 /// Sends a request while the pool serves; returns its status, outcome and body.
 async fn send(pool: &mut CrashingPool<'_>, path: &str) -> (StatusCode, Option<String>, String) {
     let daemon = pool.daemon;
-    let asked = async {
+    let request = async {
         let answer = daemon.send(path, "r").await;
         let (status, outcome) = (answer.head.status, outcome(&answer));
         (status, outcome, text(answer).await.unwrap_or_default())
     };
     tokio::select! {
-        answer = asked => answer,
-        () = pool.serve() => unreachable!("the site serves without end"),
+        answer = request => answer,
+        () = pool.serve() => unreachable!("the pool serves forever"),
     }
 }
 
@@ -113,11 +113,11 @@
         let mut pool = CrashingPool::open(&daemon, "engines").await;
 
         let last = send_repeatedly(&mut pool, "/recap/deadly", 8).await;
-        let (_, _, innocent) = send(&mut pool, "/recap/of-another").await;
+        let (_, _, bystander) = send(&mut pool, "/recap/of-another").await;
 
         expect_that!(pool.crashed, eq(3));
         expect_that!(last, eq(StatusCode::SERVICE_UNAVAILABLE));
-        expect_that!(innocent, eq(&events_to(3)));
+        expect_that!(bystander, eq(&events_to(3)));
     });
 }
 
@@ -128,11 +128,11 @@
         let mut pool = CrashingPool::open(&daemon, "desk").await;
 
         let last = send_repeatedly(&mut pool, "/again/deadly", 8).await;
-        let (_, _, innocent) = send(&mut pool, "/again/of-another").await;
+        let (_, _, bystander) = send(&mut pool, "/again/of-another").await;
 
         expect_that!(pool.crashed, eq(3));
         expect_that!(last, eq(StatusCode::SERVICE_UNAVAILABLE));
-        expect_that!(innocent, eq("done"));
+        expect_that!(bystander, eq("done"));
     });
 }
 
@@ -146,7 +146,7 @@
         let tries = async { join!(send(), send(), send()) };
         tokio::select! {
             _ = tries => {}
-            () = pool.serve() => unreachable!("the site serves without end"),
+            () = pool.serve() => unreachable!("the pool serves forever"),
         }
         let at_once = pool.crashed;
         send_repeatedly(&mut pool, "/chat/deadly", 8).await;
@@ -203,7 +203,7 @@
         let mut pool = CrashingPool::open(&daemon, "engines").await;
         let both =
             async { join!(daemon.send("/chat/innocent", "r1"), daemon.send("/chat/deadly", "r2")) };
-        let all_end = async {
+        let crash_all = async {
             let (one, other) = (pool.next_arrival().await, pool.next_arrival().await);
             for endpoint in pool.endpoints.drain(..) {
                 endpoint.shut_down().await;
@@ -212,15 +212,15 @@
                 arrival.stream().abort().await;
             }
         };
-        join!(both, all_end);
+        join!(both, crash_all);
         for _ in 0..ENDPOINTS {
             pool.start_endpoint().await;
         }
 
         send_repeatedly(&mut pool, "/chat/deadly", 4).await;
-        let (_, _, innocent) = send(&mut pool, "/chat/innocent").await;
+        let (_, _, bystander) = send(&mut pool, "/chat/innocent").await;
 
-        expect_that!(innocent, eq(&events_to(3)));
+        expect_that!(bystander, eq(&events_to(3)));
     });
 }
 
@@ -238,17 +238,17 @@
             endpoint.shut_down().await;
             stream.abort().await;
             let (_, arrival) = pool.next_arrival().await;
-            let after = arrival.last_event_id;
+            let last_event_id = arrival.last_event_id;
             let stream = arrival.stream();
             stream.send_events(3..=3).await;
             stream.finish();
-            after
+            last_event_id
         };
 
-        let (answer, after) = join!(answer, serve);
+        let (answer, last_event_id) = join!(answer, serve);
 
         expect_that!(answer, ok(eq(&events_to(3))));
-        expect_that!(after, some(eq(2)));
+        expect_that!(last_event_id, some(eq(2)));
         daemon.wait_for_metric("trayswitch_trials_total{answer=\"granted\"}", 1).await;
         daemon.wait_for_metric("trayswitch_suspects", 0).await;
     });
@@ -261,10 +261,10 @@
         let mut pool = CrashingPool::open(&daemon, "desk").await;
         send_repeatedly(&mut pool, "/once/deadly", 1).await;
 
-        let held = {
+        let pending = {
             let first = daemon.send("/once/deadly", "r1");
             tokio::select! {
-                _ = first => panic!("nobody has answered"),
+                _ = first => panic!("unexpected response"),
                 (_, arrival) = pool.next_arrival() => arrival,
             }
         };
@@ -273,7 +273,7 @@
         });
 
         expect_that!(text(answer).await, ok(eq("done")));
-        drop(held);
+        drop(pending);
     });
 }
 
@@ -283,14 +283,14 @@
         let daemon = TestDaemon::open().await;
         for (service, path) in [("engines", "/chat/deadly"), ("desk", "/once/deadly")] {
             let mut endpoint = daemon.register(service, service).await;
-            let held = tokio::select! {
-                _ = daemon.send(path, "r1") => panic!("nobody has answered"),
+            let pending = tokio::select! {
+                _ = daemon.send(path, "r1") => panic!("unexpected response"),
                 arrival = endpoint.next_arrival() => arrival,
             };
 
             let _again = daemon.restart_endpoint(service, service).await;
 
-            drop(held);
+            drop(pending);
         }
         daemon.wait_for_metric("trayswitch_suspects", 2).await;
     });
--- a/crates/server/src/relay/tests/relocation.rs
+++ b/crates/server/src/relay/tests/relocation.rs
@@ -12,7 +12,7 @@
 use crate::relay::KvCopy;
 
 /// A generation running on `from`, which is leaving; `to` is another engine.
-struct Running {
+struct RelocatingGeneration {
     daemon: TestDaemon,
     reader: ResponseReader,
     stream: Stream,
@@ -22,7 +22,7 @@
 
 /// Starts a generation on `from`, reads its events up to `last`, then starts `to` and makes `from`
 /// leave.
-async fn running(path: &str, last: u64) -> Running {
+async fn start_generation(path: &str, last: u64) -> RelocatingGeneration {
     let daemon = TestDaemon::open().await;
     let mut from = daemon.register("engines", "from").await;
     let (answer, stream) = join!(daemon.send(path, "r1"), async {
@@ -34,13 +34,13 @@
     reader.read_to(last).await;
     let to = daemon.register("engines", "to").await;
     daemon.announce_leaving("from").await;
-    Running { daemon, reader, stream, from, to }
+    RelocatingGeneration { daemon, reader, stream, from, to }
 }
 
 /// Answers the first copy command and returns the final one.
-async fn last_copy(from: &mut FakeEndpoint) -> PendingCopy {
+async fn final_copy_command(from: &mut FakeEndpoint) -> PendingCopy {
     let first = from.next_copy().await;
-    assert!(!first.last);
+    assert!(!first.is_final);
     first.answer(200, "h1");
     from.next_copy().await
 }
@@ -48,44 +48,44 @@
 #[gtest]
 fn generation_resumes_on_target() {
     run_test(async {
-        let Running { daemon: _entry, reader, stream, mut from, mut to } =
-            running("/chat/", 3).await;
+        let RelocatingGeneration { daemon: _daemon, reader, stream, mut from, mut to } =
+            start_generation("/chat/", 3).await;
 
-        let (whole, (after, memory, asked)) = join!(reader.read_rest(), async {
-            let last = last_copy(&mut from).await;
-            let asked = (last.id.clone(), last.last);
+        let (body, (last_event_id, kv_copy, command)) = join!(reader.read_rest(), async {
+            let final_copy = final_copy_command(&mut from).await;
+            let command = (final_copy.id.clone(), final_copy.is_final);
             stream.send_events([4]).await;
             stream.finish();
-            last.answer(200, "h2");
+            final_copy.answer(200, "h2");
             let arrival = to.next_arrival().await;
             // Event 4 may not have been read yet when the generation resumes.
-            let (after, memory) =
+            let (last_event_id, kv_copy) =
                 (arrival.last_event_id.unwrap_or_default(), arrival.kv_copy.clone());
-            arrival.stream_all(after + 1..=7).await;
-            (after, memory, asked)
+            arrival.stream_all(last_event_id + 1..=7).await;
+            (last_event_id, kv_copy, command)
         });
 
         let expected_copy = KvCopy { source: from.address(), handle: "h2".to_owned() };
-        expect_that!(asked, eq(&("r1".to_owned(), true)));
-        expect_that!(after, ge(3));
-        expect_that!(memory, some(eq(&kv_copy_header(&expected_copy))));
-        expect_that!(whole, ok(eq(&events_to(7))));
+        expect_that!(command, eq(&("r1".to_owned(), true)));
+        expect_that!(last_event_id, ge(3));
+        expect_that!(kv_copy, some(eq(&kv_copy_header(&expected_copy))));
+        expect_that!(body, ok(eq(&events_to(7))));
     });
 }
 
 #[gtest]
 fn refused_copy_leaves_generation_on_source() {
     run_test(async {
-        let Running { daemon: _entry, reader, stream, mut from, mut to } =
-            running("/chat/", 3).await;
+        let RelocatingGeneration { daemon: _daemon, reader, stream, mut from, mut to } =
+            start_generation("/chat/", 3).await;
 
-        let (whole, ()) = join!(reader.read_rest(), async {
+        let (body, ()) = join!(reader.read_rest(), async {
             from.next_copy().await.answer(503, "");
             stream.send_events(4..=6).await;
             stream.finish();
         });
 
-        expect_that!(whole, ok(eq(&events_to(6))));
+        expect_that!(body, ok(eq(&events_to(6))));
         expect_true!(to.is_idle());
     });
 }
@@ -93,41 +93,41 @@
 #[gtest]
 fn rejection_by_target_resumes_on_source() {
     run_test(async {
-        let Running { daemon: _entry, reader, stream, mut from, mut to } =
-            running("/chat/", 3).await;
+        let RelocatingGeneration { daemon: _daemon, reader, stream, mut from, mut to } =
+            start_generation("/chat/", 3).await;
 
-        let (whole, after) = join!(reader.read_rest(), async {
-            let last = last_copy(&mut from).await;
+        let (body, last_event_id) = join!(reader.read_rest(), async {
+            let final_copy = final_copy_command(&mut from).await;
             stream.finish();
-            last.answer(200, "h2");
+            final_copy.answer(200, "h2");
             to.next_arrival().await.reject_unexecuted("full");
             from.next_arrival().await.stream_all(4..=6).await
         });
 
-        expect_that!(after, some(eq(3)));
-        expect_that!(whole, ok(eq(&events_to(6))));
+        expect_that!(last_event_id, some(eq(3)));
+        expect_that!(body, ok(eq(&events_to(6))));
     });
 }
 
 #[gtest]
 fn failed_final_copy_resumes_on_source() {
     run_test(async {
-        let Running { daemon: _entry, reader, stream, mut from, mut to } =
-            running("/chat/", 3).await;
+        let RelocatingGeneration { daemon: _daemon, reader, stream, mut from, mut to } =
+            start_generation("/chat/", 3).await;
 
-        let (whole, memory) = join!(reader.read_rest(), async {
-            let last = last_copy(&mut from).await;
+        let (body, kv_copy) = join!(reader.read_rest(), async {
+            let final_copy = final_copy_command(&mut from).await;
             stream.finish();
-            last.answer(503, "h2");
+            final_copy.answer(503, "h2");
             let arrival = from.next_arrival().await;
-            let memory = arrival.kv_copy.clone();
+            let kv_copy = arrival.kv_copy.clone();
             arrival.stream_all(4..=5).await;
-            memory
+            kv_copy
         });
 
         let expected_copy = KvCopy { source: from.address(), handle: "h2".to_owned() };
-        expect_that!(memory, some(eq(&kv_copy_header(&expected_copy))));
-        expect_that!(whole, ok(eq(&events_to(5))));
+        expect_that!(kv_copy, some(eq(&kv_copy_header(&expected_copy))));
+        expect_that!(body, ok(eq(&events_to(5))));
         expect_true!(to.is_idle());
     });
 }
@@ -135,17 +135,17 @@
 #[gtest]
 fn generation_may_complete_during_copy() {
     run_test(async {
-        let Running { daemon: _entry, reader, stream, mut from, mut to } =
-            running("/chat/", 3).await;
+        let RelocatingGeneration { daemon: _daemon, reader, stream, mut from, mut to } =
+            start_generation("/chat/", 3).await;
 
-        let (whole, ()) = join!(reader.read_rest(), async {
-            let last = last_copy(&mut from).await;
+        let (body, ()) = join!(reader.read_rest(), async {
+            let final_copy = final_copy_command(&mut from).await;
             stream.send_events(4..=5).await;
             stream.finish();
-            last.answer(404, "");
+            final_copy.answer(404, "");
         });
 
-        expect_that!(whole, ok(eq(&events_to(5))));
+        expect_that!(body, ok(eq(&events_to(5))));
         expect_true!(to.is_idle());
     });
 }
@@ -153,16 +153,16 @@
 #[gtest]
 fn generation_lost_during_copy_is_aborted() {
     run_test(async {
-        let Running { daemon: _entry, reader, stream, mut from, mut to } =
-            running("/chat/", 3).await;
+        let RelocatingGeneration { daemon: _daemon, reader, stream, mut from, mut to } =
+            start_generation("/chat/", 3).await;
 
-        let (whole, ()) = join!(reader.read_rest(), async {
-            let last = last_copy(&mut from).await;
+        let (body, ()) = join!(reader.read_rest(), async {
+            let final_copy = final_copy_command(&mut from).await;
             stream.abort().await;
-            last.answer(404, "");
+            final_copy.answer(404, "");
         });
 
-        expect_that!(whole, err(anything()));
+        expect_that!(body, err(anything()));
         expect_true!(to.is_idle());
     });
 }
@@ -170,16 +170,17 @@
 #[gtest]
 fn source_crash_during_copy_is_probed() {
     run_test(async {
-        let Running { daemon, reader, stream, mut from, to: _to } = running("/chat/", 3).await;
+        let RelocatingGeneration { daemon, reader, stream, mut from, to: _to } =
+            start_generation("/chat/", 3).await;
 
-        let (whole, ()) = join!(reader.read_rest(), async {
-            let last = last_copy(&mut from).await;
+        let (body, ()) = join!(reader.read_rest(), async {
+            let final_copy = final_copy_command(&mut from).await;
             from.shut_down().await;
             stream.abort().await;
-            last.answer(404, "");
+            final_copy.answer(404, "");
         });
 
-        expect_that!(whole, err(anything()));
+        expect_that!(body, err(anything()));
         daemon.wait_for_metric(&failed_attempts_metric("engines", "ended"), 1).await;
     });
 }
@@ -187,18 +188,18 @@
 #[gtest]
 fn partial_event_before_resume_is_discarded() {
     run_test(async {
-        let Running { daemon: _entry, reader, stream, mut from, mut to } =
-            running("/chat/", 3).await;
+        let RelocatingGeneration { daemon: _daemon, reader, stream, mut from, mut to } =
+            start_generation("/chat/", 3).await;
 
-        let (whole, after) = join!(reader.read_rest(), async {
-            let last = last_copy(&mut from).await;
+        let (body, last_event_id) = join!(reader.read_rest(), async {
+            let final_copy = final_copy_command(&mut from).await;
             stream.send_bytes("id: 4\ndata: tok").await;
             stream.abort().await;
-            last.answer(200, "h2");
+            final_copy.answer(200, "h2");
             to.next_arrival().await.stream_all(4..=6).await
         });
 
-        expect_that!(after, some(eq(3)));
-        expect_that!(whole, ok(eq(&events_to(6))));
+        expect_that!(last_event_id, some(eq(3)));
+        expect_that!(body, ok(eq(&events_to(6))));
     });
 }
--- a/crates/server/src/relay/tests/response.rs
+++ b/crates/server/src/relay/tests/response.rs
@@ -29,7 +29,7 @@
     /// Reads until the event of this id has been received.
     pub(super) async fn read_to(&mut self, id: u64) {
         while !self.text.contains(&event(id)) {
-            let bytes = self.body.next().await.expect("the answer goes on").unwrap();
+            let bytes = self.body.next().await.expect("the response ended early").unwrap();
             self.text += std::str::from_utf8(&bytes).unwrap();
         }
     }
--- a/crates/server/src/relay/tests/startup.rs
+++ b/crates/server/src/relay/tests/startup.rs
@@ -12,12 +12,12 @@
 };
 
 /// Longer than a test may take.
-const LONG: Duration = Duration::from_secs(120);
+const LONG_TIMEOUT: Duration = Duration::from_secs(120);
 
 #[gtest]
 fn call_waits_for_initial_configuration() {
     run_test(async {
-        let daemon = TestDaemon::start(LONG);
+        let daemon = TestDaemon::start(LONG_TIMEOUT);
 
         let (answer, ()) = join!(daemon.send("/once/x", "r1"), async {
             daemon.wait_for_connection().await;
--- a/crates/server/src/relay/tests/suspension.rs
+++ b/crates/server/src/relay/tests/suspension.rs
@@ -46,11 +46,11 @@
 fn daemon_is_unready_after_suspension() {
     run_test(async {
         let daemon = confirmed_once().await;
-        let before = daemon.is_ready();
+        let was_ready = daemon.is_ready();
 
         daemon.suspend();
 
-        expect_that!(before, eq(true));
+        expect_that!(was_ready, eq(true));
         expect_that!(daemon.is_ready(), eq(false));
     });
 }
--- a/crates/server/src/relay/tests/test_daemon.rs
+++ b/crates/server/src/relay/tests/test_daemon.rs
@@ -127,7 +127,7 @@
 /// Runs a test on a single-threaded runtime; fails if it hangs.
 pub(super) fn run_test<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let bounded = async { tokio::time::timeout(LIMIT, test).await.expect("the test goes on") };
+    let bounded = async { tokio::time::timeout(LIMIT, test).await.expect("the test timed out") };
     let result = LocalSet::new().block_on(&runtime, bounded);
     drop(runtime);
     DATA_FOLDERS.take().iter().for_each(|folder| remove_when_unlocked(folder));
@@ -325,7 +325,7 @@
     /// Takes the endpoints' data hall out of service or puts it back; waits until the endpoint
     /// `name` reflects this.
     pub(super) async fn set_hall_out(&self, out: bool, name: &str) {
-        self.node.order_hall(HALL, out, LIMIT).await.expect("the order is answered");
+        self.node.order_hall(HALL, out, LIMIT).await.expect("the order is confirmed");
         self.wait_until(|| self.is_open(name) == Some(!out)).await;
     }
 
