--- a/crates/core/src/config/check.rs
+++ b/crates/core/src/config/check.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, ops::Bound, sync::Arc, time::Duration};
 
 use super::{
-    document::{Document, Fault, Faults},
+    document::{ConfigError, ConfigErrors, Document},
     endpoint::{self, EndpointTarget},
     limits::{self, CallerLimits},
     reader::{MAX_WEIGHT, SectionReader},
@@ -17,21 +17,21 @@
 /// Longest time in the queue, where a file does not say.
 const DEFAULT_MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// Reads a document and collects its faults.
+/// Reads a document and collects its errors.
 pub(super) struct Check<'a> {
     pub(super) file: &'a str,
     pub(super) document: &'a Document,
-    pub(super) faults: Vec<Fault>,
+    pub(super) errors: Vec<ConfigError>,
 }
 
 impl<'a> Check<'a> {
     pub(super) fn new(file: &'a str, document: &'a Document) -> Check<'a> {
-        Check { file, document, faults: Vec::new() }
+        Check { file, document, errors: Vec::new() }
     }
 
-    /// What was read, unless there were faults.
-    pub(super) fn end(self, config: Config) -> Result<Config, Faults> {
-        if self.faults.is_empty() { Ok(config) } else { Err(Faults(self.faults)) }
+    /// What was read, unless there were errors.
+    pub(super) fn end(self, config: Config) -> Result<Config, ConfigErrors> {
+        if self.errors.is_empty() { Ok(config) } else { Err(ConfigErrors(self.errors)) }
     }
 
     /// Reads everything.
@@ -77,7 +77,7 @@
             };
             if !known {
                 let families = KNOWN.join(" NAME], [");
-                self.fault(
+                self.add_error(
                     name,
                     "",
                     format!(
@@ -90,10 +90,10 @@
 
     pub(super) fn deployment(&mut self) -> Deployment {
         let Some(section) = self.document.section(DEPLOYMENT) else {
-            self.fault(DEPLOYMENT, "", "this section is required");
+            self.add_error(DEPLOYMENT, "", "this section is required");
             return Deployment { name: String::new(), version: 0, stall_weight: 1, gap_weight: 1 };
         };
-        let mut r = SectionReader::new(self.file, DEPLOYMENT, section, &mut self.faults);
+        let mut r = SectionReader::new(self.file, DEPLOYMENT, section, &mut self.errors);
         let deployment = Deployment {
             name: r.text("name"),
             version: r.number("version", None, 1, u64::MAX),
@@ -115,7 +115,7 @@
         let range = self.document.sections().range::<str, _>((from, Bound::Unbounded));
         for (full_name, section) in range {
             let Some(name) = full_name.strip_prefix(&prefix) else { break };
-            let mut r = SectionReader::new(self.file, full_name, section.keys(), &mut self.faults);
+            let mut r = SectionReader::new(self.file, full_name, section.keys(), &mut self.errors);
             let spec = read(&mut r);
             r.finish();
             specs.insert(name.to_owned(), spec);
@@ -128,11 +128,11 @@
         for (name, spec) in self.each("call", service::read_call) {
             let section = format!("call {name}");
             let Some((service, call)) = name.split_once('/') else {
-                self.fault(&section, "", "expected [call SERVICE/CALL]");
+                self.add_error(&section, "", "expected [call SERVICE/CALL]");
                 continue;
             };
             let Some(service) = config.services.get_mut(service) else {
-                self.fault(&section, "", format!("there is no [service {service}]"));
+                self.add_error(&section, "", format!("there is no [service {service}]"));
                 continue;
             };
             service.calls.insert(call.to_owned(), spec);
@@ -141,7 +141,7 @@
 
     fn limits(&mut self) -> CallerLimits {
         let Some(section) = self.document.section(LIMITS) else { return CallerLimits::default() };
-        let mut r = SectionReader::new(self.file, LIMITS, section, &mut self.faults);
+        let mut r = SectionReader::new(self.file, LIMITS, section, &mut self.errors);
         let limits = limits::read(&mut r);
         r.finish();
         limits
@@ -165,8 +165,8 @@
             self.reference(config.tiers.contains_key(tier), &section, "tier", "tier", tier);
         }
         if let Err(other) = config.routes.insert(name, spec) {
-            let problem = format!("[route {other}] has the same host and path_prefix");
-            self.fault(&section, "path_prefix", problem);
+            let message = format!("[route {other}] has the same host and path_prefix");
+            self.add_error(&section, "path_prefix", message);
         }
     }
 
@@ -206,7 +206,7 @@
 
     fn reference(&mut self, known: bool, section: &str, key: &str, family: &str, name: &str) {
         if !known && !name.is_empty() {
-            self.fault(section, key, format!("there is no [{family} {name}]"));
+            self.add_error(section, key, format!("there is no [{family} {name}]"));
         }
     }
 
@@ -232,17 +232,21 @@
             let other = by_key.insert(key.as_str().into(), name.into());
             if let Some(other) = other {
                 let section = format!("workspace {name}");
-                self.fault(&section, "key_sha256", format!("[workspace {other}] has the same key"));
+                self.add_error(
+                    &section,
+                    "key_sha256",
+                    format!("[workspace {other}] has the same key"),
+                );
             }
         }
     }
 
-    fn fault(&mut self, section: &str, key: &str, problem: impl Into<String>) {
-        self.faults.push(Fault {
+    fn add_error(&mut self, section: &str, key: &str, message: impl Into<String>) {
+        self.errors.push(ConfigError {
             file: self.file.to_owned(),
             section: section.to_owned(),
             key: key.to_owned(),
-            problem: problem.into(),
+            message: message.into(),
         });
     }
 }
--- a/crates/core/src/config/document.rs
+++ b/crates/core/src/config/document.rs
@@ -12,7 +12,7 @@
 
 /// One fault in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigError {
     /// Name of the file as the operator gave it.
     pub file: String,
     /// The section, or empty when the fault lies outside all sections.
@@ -20,10 +20,10 @@
     /// The key, or empty when the fault concerns the section itself.
     pub key: String,
     /// What is wrong and what is expected.
-    pub problem: String,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file)?;
         if !self.section.is_empty() {
@@ -32,27 +32,27 @@
         if !self.key.is_empty() {
             write!(f, " {}", self.key)?;
         }
-        write!(f, ": {}", self.problem)
+        write!(f, ": {}", self.message)
     }
 }
 
 /// Every fault found in a file; never empty when returned as an error.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Faults(pub Vec<Fault>);
+pub struct ConfigErrors(pub Vec<ConfigError>);
 
-impl fmt::Display for Faults {
+impl fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, fault) in self.0.iter().enumerate() {
+        for (i, error) in self.0.iter().enumerate() {
             if 0 < i {
                 writeln!(f)?;
             }
-            write!(f, "{fault}")?;
+            write!(f, "{error}")?;
         }
         Ok(())
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for ConfigErrors {}
 
 /// The keys and values of one section.
 pub type Section = BTreeMap<String, String>;
@@ -159,25 +159,25 @@
         self.sections.insert(name.into(), Arc::new(HashedSection::new(name, keys)));
     }
 
-    /// Parses INI text; reports syntax faults, keys outside sections, and repeated names.
-    pub fn parse(file: &str, text: &str) -> Result<Document, Faults> {
-        let fault = |section: &str, key: &str, problem: String| Fault {
+    /// Parses INI text; reports syntax errors, keys outside sections, and repeated names.
+    pub fn parse(file: &str, text: &str) -> Result<Document, ConfigErrors> {
+        let error = |section: &str, key: &str, message: String| ConfigError {
             file: file.to_owned(),
             section: section.to_owned(),
             key: key.to_owned(),
-            problem,
+            message,
         };
         // Values are taken as they stand, so that what was written is what is read.
         let option =
             ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
         let ini = Ini::load_from_str_opt(text, option)
-            .map_err(|e| Faults(vec![fault("", "", format!("not a valid INI file: {e}"))]))?;
-        let mut faults = Vec::new();
+            .map_err(|e| ConfigErrors(vec![error("", "", format!("not a valid INI file: {e}"))]))?;
+        let mut errors = Vec::new();
         let mut document = Document::default();
         for (name, properties) in ini.iter() {
             let Some(name) = name else {
                 for (key, _) in properties.iter() {
-                    faults.push(fault("", key, "this key stands before any section".into()));
+                    errors.push(error("", key, "this key stands before any section".into()));
                 }
                 continue;
             };
@@ -185,16 +185,16 @@
             let mut section = Section::new();
             for (key, value) in properties.iter() {
                 if section.insert(key.to_owned(), value.to_owned()).is_some() {
-                    faults.push(fault(&name, key, "this key is given twice".into()));
+                    errors.push(error(&name, key, "this key is given twice".into()));
                 }
             }
             if document.sections.contains_key(&*name) {
-                faults.push(fault(&name, "", "this section is given twice".into()));
+                errors.push(error(&name, "", "this section is given twice".into()));
             }
             document.insert(&name, section);
         }
-        if !faults.is_empty() {
-            return Err(Faults(faults));
+        if !errors.is_empty() {
+            return Err(ConfigErrors(errors));
         }
         Ok(document)
     }
--- a/crates/core/src/config/endpoint.rs
+++ b/crates/core/src/config/endpoint.rs
@@ -67,7 +67,7 @@
         }
         (None, Some(service)) => (EndpointTarget::Service(service), 0),
         _ => {
-            r.fault("model", "give either model or service");
+            r.add_error("model", "give either model or service");
             return None;
         }
     };
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -14,7 +14,10 @@
 mod workspace;
 
 pub use self::{
-    document::{ContentHash, Delta, Document, Fault, Faults, HashedSection, Section, SectionName},
+    document::{
+        ConfigError, ConfigErrors, ContentHash, Delta, Document, HashedSection, Section,
+        SectionName,
+    },
     endpoint::{EndpointSpec, EndpointTarget, Endpoints},
     limits::CallerLimits,
     reader::{SOURCE, SectionReader},
--- a/crates/core/src/config/reader.rs
+++ b/crates/core/src/config/reader.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
 
-use super::document::{Fault, Section};
+use super::document::{ConfigError, Section};
 use crate::units::parse_duration;
 
 /// Key under which an adapter keeps the text that a section was translated from.
@@ -21,28 +21,28 @@
     name: &'a str,
     section: &'a Section,
     known: BTreeSet<&'static str>,
-    faults: &'a mut Vec<Fault>,
+    errors: &'a mut Vec<ConfigError>,
 }
 
 impl<'a> SectionReader<'a> {
-    /// A reader over `section`; faults are added to `faults`.
+    /// A reader over `section`; errors are added to `errors`.
     pub fn new(
         file: &'a str,
         name: &'a str,
         section: &'a Section,
-        faults: &'a mut Vec<Fault>,
+        errors: &'a mut Vec<ConfigError>,
     ) -> SectionReader<'a> {
         // Any section may keep what it was translated from, to be read back as it was sent.
-        SectionReader { file, name, section, known: BTreeSet::from([SOURCE]), faults }
+        SectionReader { file, name, section, known: BTreeSet::from([SOURCE]), errors }
     }
 
     /// Records a fault at `key`.
-    pub fn fault(&mut self, key: &str, problem: impl Into<String>) {
-        self.faults.push(Fault {
+    pub fn add_error(&mut self, key: &str, message: impl Into<String>) {
+        self.errors.push(ConfigError {
             file: self.file.to_owned(),
             section: self.name.to_owned(),
             key: key.to_owned(),
-            problem: problem.into(),
+            message: message.into(),
         });
     }
 
@@ -57,7 +57,7 @@
         match self.raw(key) {
             Some(text) if !text.is_empty() => text.to_owned(),
             _ => {
-                self.fault(key, "this key is required");
+                self.add_error(key, "this key is required");
                 String::new()
             }
         }
@@ -103,7 +103,7 @@
         let known =
             self.known.iter().copied().filter(|key| *key != SOURCE).collect::<Vec<_>>().join(", ");
         for key in unknown {
-            self.fault(key, format!("unknown key; this section knows {known}"));
+            self.add_error(key, format!("unknown key; this section knows {known}"));
         }
     }
 
@@ -116,13 +116,13 @@
     ) -> Option<T> {
         let Some(text) = self.raw(key) else {
             if default.is_none() {
-                self.fault(key, format!("this key is required: {expected}"));
+                self.add_error(key, format!("this key is required: {expected}"));
             }
             return default;
         };
         let value = parse(text);
         if value.is_none() {
-            self.fault(key, format!("\"{text}\" is not valid: {expected}"));
+            self.add_error(key, format!("\"{text}\" is not valid: {expected}"));
         }
         value
     }
--- a/crates/core/src/config/route.rs
+++ b/crates/core/src/config/route.rs
@@ -101,13 +101,13 @@
     let host = r.text("host");
     let path_prefix = r.text("path_prefix");
     if !path_prefix.starts_with('/') || !path_prefix.ends_with('/') {
-        r.fault("path_prefix", "must begin and end with a slash");
+        r.add_error("path_prefix", "must begin and end with a slash");
     }
     let targets = targets(r);
     let kind = kind(r);
     let timeout = r.duration("timeout", Some(DEFAULT_TIMEOUT));
     if timeout.is_zero() {
-        r.fault("timeout", "must be above zero");
+        r.add_error("timeout", "must be above zero");
     }
     let spec = RouteSpec {
         host,
@@ -132,7 +132,7 @@
         Some("resumable_generation") => Some(RouteKind::ResumableGeneration),
         _ => {
             let expected = "expected repeatable, single, generation or resumable_generation";
-            r.fault("kind", expected);
+            r.add_error("kind", expected);
             None
         }
     }
@@ -148,11 +148,11 @@
         });
         match target {
             Some(target) => targets.push(target),
-            None => r.fault("services", format!("\"{item}\" is not SERVICE:WEIGHT")),
+            None => r.add_error("services", format!("\"{item}\" is not SERVICE:WEIGHT")),
         }
     }
     if targets.iter().all(|target| target.weight == 0) {
-        r.fault("services", "at least one service must have a weight above zero");
+        r.add_error("services", "at least one service must have a weight above zero");
         return None;
     }
     Some(targets)
--- a/crates/core/src/config/schema.rs
+++ b/crates/core/src/config/schema.rs
@@ -4,7 +4,7 @@
 
 use super::{
     check::Check,
-    document::{Delta, Document, Faults},
+    document::{ConfigErrors, Delta, Document},
     endpoint::Endpoints,
     limits::CallerLimits,
     reader::SectionReader,
@@ -82,7 +82,7 @@
     pub(super) workspaces_by_key: BTreeMap<Arc<str>, Arc<str>>,
 }
 
-/// A document without faults, cheap to clone.
+/// A document without errors, cheap to clone.
 #[derive(Debug, Clone)]
 pub struct CheckedDocument {
     version: u64,
@@ -91,7 +91,7 @@
 
 impl CheckedDocument {
     /// Checks a document; on failure reports every fault.
-    pub fn new(file: &str, document: Document) -> Result<CheckedDocument, Faults> {
+    pub fn new(file: &str, document: Document) -> Result<CheckedDocument, ConfigErrors> {
         let version = Config::check(file, &document)?.deployment.version;
         Ok(CheckedDocument { version, document: Arc::new(document) })
     }
@@ -109,7 +109,7 @@
 
 impl Config {
     /// Checks a whole document; on failure reports every fault.
-    pub fn check(file: &str, document: &Document) -> Result<Config, Faults> {
+    pub fn check(file: &str, document: &Document) -> Result<Config, ConfigErrors> {
         let mut check = Check::new(file, document);
         let config = check.run();
         check.end(config)
@@ -125,7 +125,7 @@
         file: &str,
         document: &Document,
         delta: &Delta,
-    ) -> Result<Config, Faults> {
+    ) -> Result<Config, ConfigErrors> {
         if !delta.names().all(|name| is_read_alone(name)) {
             return Config::check(file, document);
         }
@@ -137,7 +137,7 @@
             config.forget(name);
         }
         for (full_name, section) in &delta.changed {
-            let mut r = SectionReader::new(file, full_name, section.keys(), &mut check.faults);
+            let mut r = SectionReader::new(file, full_name, section.keys(), &mut check.errors);
             if let Some(name) = full_name.strip_prefix(WORKSPACE) {
                 let spec = Arc::new(workspace::read(&mut r));
                 r.finish();
@@ -166,7 +166,7 @@
     }
 
     /// Parses and checks the text of a file.
-    pub fn parse(file: &str, text: &str) -> Result<Config, Faults> {
+    pub fn parse(file: &str, text: &str) -> Result<Config, ConfigErrors> {
         Config::check(file, &Document::parse(file, text)?)
     }
 
--- a/crates/core/src/config/tests.rs
+++ b/crates/core/src/config/tests.rs
@@ -37,10 +37,10 @@
         .replace("tier = gold", "tier = silver")
         .replace("kv_tokens", "kv_token");
 
-    let faults = Config::parse("site.ini", &text).unwrap_err().0;
+    let errors = Config::parse("site.ini", &text).unwrap_err().0;
 
     let places: Vec<String> =
-        faults.iter().map(|f| format!("{} [{}] {}", f.file, f.section, f.key)).collect();
+        errors.iter().map(|f| format!("{} [{}] {}", f.file, f.section, f.key)).collect();
     expect_that!(
         places,
         unordered_elements_are![
@@ -56,9 +56,9 @@
 fn a_repeated_section_or_key_is_a_fault() {
     let text = valid_file() + "[tier gold]\nrank = 2\nrank = 3\n";
 
-    let faults = Config::parse("site.ini", &text).unwrap_err().0;
+    let errors = Config::parse("site.ini", &text).unwrap_err().0;
 
-    expect_that!(faults.len(), eq(2));
+    expect_that!(errors.len(), eq(2));
 }
 
 #[gtest]
@@ -66,9 +66,9 @@
     let digest = key_digest("secret");
     let text = valid_file() + &format!("[workspace twin]\ntier = gold\nkey_sha256 = {digest}\n");
 
-    let faults = Config::parse("site.ini", &text).unwrap_err();
+    let errors = Config::parse("site.ini", &text).unwrap_err();
 
-    expect_that!(faults.to_string(), contains_substring("has the same key"));
+    expect_that!(errors.to_string(), contains_substring("has the same key"));
 }
 
 // No backslash: the library reads one at the end of a line as a continuation,
@@ -167,10 +167,10 @@
     };
     let text = valid_file() + &route("one") + &route("two");
 
-    let faults = Config::parse("site.ini", &text).unwrap_err();
+    let errors = Config::parse("site.ini", &text).unwrap_err();
 
     let same = "[route one] has the same host and path_prefix";
-    expect_that!(faults.to_string(), contains_substring(same));
+    expect_that!(errors.to_string(), contains_substring(same));
 }
 
 proptest! {
--- a/crates/core/src/config/workspace.rs
+++ b/crates/core/src/config/workspace.rs
@@ -35,7 +35,7 @@
     let tier = r.text("tier");
     // A workspace may have lost all of its keys.
     let keys = r.raw("key_sha256").unwrap_or_else(|| {
-        r.fault("key_sha256", "this key is required");
+        r.add_error("key_sha256", "this key is required");
         ""
     });
     let keys_sha256: Vec<String> =
@@ -46,7 +46,7 @@
     if !keys_sha256.iter().all(is_digest) {
         let expected = "expected 64 lower-case hexadecimal digits for each key, separated by \
                         commas; `trayswitch config key` makes them";
-        r.fault("key_sha256", expected);
+        r.add_error("key_sha256", expected);
     }
     WorkspaceSpec {
         tier,
--- a/crates/trayswitch/src/error.rs
+++ b/crates/trayswitch/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt, io, net::SocketAddr, path::PathBuf, process::ExitCode};
 
-use trayswitch_core::config::Faults;
+use trayswitch_core::config::ConfigErrors;
 
 /// An error of the command line.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     /// A file cannot be read.
     Read(PathBuf, io::Error),
     /// The file has faults.
-    Faults(Faults),
+    Faults(ConfigErrors),
     /// The daemon refused the file.
     Refused(String),
     /// The daemon could not be reached; nothing was sent.
--- a/crates/trayswitchd/src/operators/submit.rs
+++ b/crates/trayswitchd/src/operators/submit.rs
@@ -5,7 +5,7 @@
 
 use trayswitch_clock::Instant;
 use trayswitch_core::{
-    config::{CheckedDocument, Document, Faults},
+    config::{CheckedDocument, ConfigErrors, Document},
     node::{NodeCall, NodeReply, SubmitError},
     wire::{AcceptedVersion, Submit},
 };
@@ -20,7 +20,7 @@
     node: &NodeHandle,
     file: &str,
     text: &str,
-) -> Result<Result<AcceptedVersion, SubmitError>, Faults> {
+) -> Result<Result<AcceptedVersion, SubmitError>, ConfigErrors> {
     let checked = CheckedDocument::new(file, Document::parse(file, text)?)?;
     let began = Instant::now();
     loop {
--- a/crates/trayswitchd/src/settings.rs
+++ b/crates/trayswitchd/src/settings.rs
@@ -10,7 +10,7 @@
 use eyre::{Result, WrapErr, bail};
 use trayswitch_core::{
     agreement,
-    config::{Document, Fault, Faults, Section, SectionReader},
+    config::{ConfigError, ConfigErrors, Document, Section, SectionReader},
     mechanism::Disabled,
     node::NodeTiming,
 };
@@ -103,7 +103,7 @@
         let mut faults = Vec::new();
         let settings = read(&file, &document, &mut faults);
         if !faults.is_empty() {
-            return Err(Faults(faults).into());
+            return Err(ConfigErrors(faults).into());
         }
         let Some(settings) = settings else { bail!("{file}: the settings are incomplete") };
         Ok(settings)
@@ -115,7 +115,7 @@
     }
 }
 
-fn read(file: &str, document: &Document, faults: &mut Vec<Fault>) -> Option<Settings> {
+fn read(file: &str, document: &Document, faults: &mut Vec<ConfigError>) -> Option<Settings> {
     unknown_sections(file, document, faults);
     let timing = timing(file, document, faults);
     let replicas = replicas(file, document, faults);
@@ -126,7 +126,7 @@
     r.finish();
     let mut r = section(file, document, "placement", faults);
     let disabled = r.raw("without").unwrap_or("").parse::<Disabled>().unwrap_or_else(|unknown| {
-        r.fault("without", unknown.to_string());
+        r.add_error("without", unknown.to_string());
         Disabled::default()
     });
     r.finish();
@@ -142,10 +142,10 @@
     let peers = if data.is_some() || r.raw("peers").is_some() { r.address("peers") } else { None };
     let listed = replicas.iter().any(|replica| replica.vm == vm);
     if data.is_some() && !listed {
-        r.fault("data", "this VM has a data folder but is not listed in [control] replicas");
+        r.add_error("data", "this VM has a data folder but is not listed in [control] replicas");
     }
     if data.is_none() && listed {
-        r.fault("data", "this VM is listed in [control] replicas and needs a data folder");
+        r.add_error("data", "this VM is listed in [control] replicas and needs a data folder");
     }
     r.finish();
     Some(Settings {
@@ -169,25 +169,25 @@
     file: &'a str,
     document: &'a Document,
     name: &'a str,
-    faults: &'a mut Vec<Fault>,
+    faults: &'a mut Vec<ConfigError>,
 ) -> SectionReader<'a> {
     let section = document.section(name).unwrap_or(NO_SECTION);
     SectionReader::new(file, name, section, faults)
 }
 
-fn unknown_sections(file: &str, document: &Document, faults: &mut Vec<Fault>) {
+fn unknown_sections(file: &str, document: &Document, faults: &mut Vec<ConfigError>) {
     const KNOWN: [&str; 7] = ["vm", "control", "keys", "timing", "limits", "placement", "metrics"];
     for name in document.sections().keys().filter(|name| !KNOWN.contains(&&***name)) {
-        faults.push(Fault {
+        faults.push(ConfigError {
             file: file.to_owned(),
             section: name.to_string(),
             key: String::new(),
-            problem: format!("unknown section; expected one of {}", KNOWN.join(", ")),
+            message: format!("unknown section; expected one of {}", KNOWN.join(", ")),
         });
     }
 }
 
-fn timing(file: &str, document: &Document, faults: &mut Vec<Fault>) -> Timing {
+fn timing(file: &str, document: &Document, faults: &mut Vec<ConfigError>) -> Timing {
     let millis = |n| Some(Duration::from_millis(n));
     let mut r = section(file, document, "timing", faults);
     let timing = Timing {
@@ -200,16 +200,16 @@
         drain_limit: r.duration("drain_limit", millis(1_800_000)),
     };
     if timing.election < timing.heartbeat * 3 {
-        r.fault("election", "must be at least three times heartbeat");
+        r.add_error("election", "must be at least three times heartbeat");
     }
     if timing.stale_after < timing.poll * 3 {
-        r.fault("stale_after", "must be at least three times poll");
+        r.add_error("stale_after", "must be at least three times poll");
     }
     r.finish();
     timing
 }
 
-fn replicas(file: &str, document: &Document, faults: &mut Vec<Fault>) -> Vec<ReplicaAddress> {
+fn replicas(file: &str, document: &Document, faults: &mut Vec<ConfigError>) -> Vec<ReplicaAddress> {
     let mut r = section(file, document, "control", faults);
     let list = r.text("replicas");
     let mut replicas = Vec::new();
@@ -219,14 +219,14 @@
         });
         match parsed {
             Some(replica) => replicas.push(replica),
-            None => r.fault("replicas", format!("\"{item}\" is not NAME@IP:PORT")),
+            None => r.add_error("replicas", format!("\"{item}\" is not NAME@IP:PORT")),
         }
     }
     r.finish();
     replicas
 }
 
-fn keys(file: &str, document: &Document, faults: &mut Vec<Fault>) -> Option<Keys> {
+fn keys(file: &str, document: &Document, faults: &mut Vec<ConfigError>) -> Option<Keys> {
     const SHORTEST: usize = 16;
     let is_key = |key: &str| SHORTEST <= key.len() && key.chars().all(|c| c.is_ascii_graphic());
     let mut r = section(file, document, "keys", faults);
@@ -239,11 +239,11 @@
             Ok(text) if is_key(text.trim()) => Some(text.trim().to_owned()),
             Ok(_) => {
                 let expected = format!("one line of at least {SHORTEST} printable characters");
-                r.fault(key, format!("{path} holds no key: expected {expected}"));
+                r.add_error(key, format!("{path} holds no key: expected {expected}"));
                 None
             }
             Err(e) => {
-                r.fault(key, format!("cannot read {path}: {e}"));
+                r.add_error(key, format!("cannot read {path}: {e}"));
                 None
             }
         }
