--- a/crates/core/src/config/check.rs
+++ b/crates/core/src/config/check.rs
@@ -9,7 +9,9 @@
     reader::{MAX_WEIGHT, SectionReader},
     route::{self, RouteSpec},
     route_table::RouteTable,
-    schema::{Config, DEPLOYMENT, Deployment, KindSpec, LAYOUT, LIMITS, TierSpec},
+    schema::{
+        Config, DEPLOYMENT_SECTION, Deployment, KindSpec, LAYOUT_SECTION, LIMITS_SECTION, TierSpec,
+    },
     service,
     workspace::{self, WorkspaceSpec},
 };
@@ -68,8 +70,8 @@
         const KNOWN: [&str; 9] =
             ["hall", "tier", "kind", "workspace", "model", "service", "call", "route", "endpoint"];
         // An adapter's own; it has no part in messages to operators.
-        const ADAPTERS: &str = LAYOUT;
-        const SINGLE: [&str; 3] = [DEPLOYMENT, LIMITS, LAYOUT];
+        const ADAPTERS: &str = LAYOUT_SECTION;
+        const SINGLE: [&str; 3] = [DEPLOYMENT_SECTION, LIMITS_SECTION, LAYOUT_SECTION];
         for name in self.document.sections().keys() {
             let known = match name.split_once(' ') {
                 Some((family, _)) => KNOWN.contains(&family) || family == ADAPTERS,
@@ -81,7 +83,7 @@
                     name,
                     "",
                     format!(
-                        "unknown section; expected [{DEPLOYMENT}], [{LIMITS}], [{families} NAME]"
+                        "unknown section; expected [{DEPLOYMENT_SECTION}], [{LIMITS_SECTION}], [{families} NAME]"
                     ),
                 );
             }
@@ -89,11 +91,11 @@
     }
 
     pub(super) fn deployment(&mut self) -> Deployment {
-        let Some(section) = self.document.section(DEPLOYMENT) else {
-            self.add_error(DEPLOYMENT, "", "this section is required");
+        let Some(section) = self.document.section(DEPLOYMENT_SECTION) else {
+            self.add_error(DEPLOYMENT_SECTION, "", "this section is required");
             return Deployment { name: String::new(), version: 0, stall_weight: 1, gap_weight: 1 };
         };
-        let mut r = SectionReader::new(self.file, DEPLOYMENT, section, &mut self.errors);
+        let mut r = SectionReader::new(self.file, DEPLOYMENT_SECTION, section, &mut self.errors);
         let deployment = Deployment {
             name: r.text("name"),
             version: r.number("version", None, 1, u64::MAX),
@@ -140,8 +142,10 @@
     }
 
     fn limits(&mut self) -> CallerLimits {
-        let Some(section) = self.document.section(LIMITS) else { return CallerLimits::default() };
-        let mut r = SectionReader::new(self.file, LIMITS, section, &mut self.errors);
+        let Some(section) = self.document.section(LIMITS_SECTION) else {
+            return CallerLimits::default();
+        };
+        let mut r = SectionReader::new(self.file, LIMITS_SECTION, section, &mut self.errors);
         let limits = limits::read(&mut r);
         r.finish();
         limits
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -20,10 +20,13 @@
     },
     endpoint::{EndpointSpec, EndpointTarget, Endpoints},
     limits::CallerLimits,
-    reader::{SOURCE, SectionReader},
+    reader::{SOURCE_KEY, SectionReader},
     route::{NamedRoute, RouteKind, RouteSpec, RouteTarget},
     route_table::RouteTable,
-    schema::{CheckedDocument, Config, DEPLOYMENT, Deployment, KindSpec, LAYOUT, LIMITS, TierSpec},
+    schema::{
+        CheckedDocument, Config, DEPLOYMENT_SECTION, Deployment, KindSpec, LAYOUT_SECTION,
+        LIMITS_SECTION, TierSpec,
+    },
     service::{CallSpec, ColdStart, EngineSpec, ServiceSpec},
     workspace::{WorkspaceSpec, key_digest},
 };
--- a/crates/core/src/config/reader.rs
+++ b/crates/core/src/config/reader.rs
@@ -6,7 +6,7 @@
 use crate::units::parse_duration;
 
 /// Key under which an adapter keeps the text that a section was translated from.
-pub const SOURCE: &str = "source";
+pub const SOURCE_KEY: &str = "source";
 
 /// Largest weight or share in a file.
 pub(super) const MAX_WEIGHT: u64 = 1_000;
@@ -33,7 +33,7 @@
         errors: &'a mut Vec<ConfigError>,
     ) -> SectionReader<'a> {
         // Any section may keep what it was translated from, to be read back as it was sent.
-        SectionReader { file, name, section, known: BTreeSet::from([SOURCE]), errors }
+        SectionReader { file, name, section, known: BTreeSet::from([SOURCE_KEY]), errors }
     }
 
     /// Records a fault at `key`.
@@ -100,8 +100,13 @@
             .map(String::as_str)
             .filter(|key| !self.known.contains(key))
             .collect();
-        let known =
-            self.known.iter().copied().filter(|key| *key != SOURCE).collect::<Vec<_>>().join(", ");
+        let known = self
+            .known
+            .iter()
+            .copied()
+            .filter(|key| *key != SOURCE_KEY)
+            .collect::<Vec<_>>()
+            .join(", ");
         for key in unknown {
             self.add_error(key, format!("unknown key; this section knows {known}"));
         }
--- a/crates/core/src/config/schema.rs
+++ b/crates/core/src/config/schema.rs
@@ -15,14 +15,14 @@
 };
 
 /// Name of the section that every file must have.
-pub const DEPLOYMENT: &str = "deployment";
+pub const DEPLOYMENT_SECTION: &str = "deployment";
 
 /// Name of the section that bounds what callers may send.
-pub const LIMITS: &str = "limits";
+pub const LIMITS_SECTION: &str = "limits";
 
 /// Name of the section in which an adapter keeps the layout of a file of another form, and of the
 /// family of further ones.
-pub const LAYOUT: &str = "layout";
+pub const LAYOUT_SECTION: &str = "layout";
 
 /// Start of the names of sections of workspaces.
 pub(super) const WORKSPACE: &str = "workspace ";
@@ -182,6 +182,6 @@
     let family = full_name.split(' ').next();
     full_name.starts_with(WORKSPACE)
         || full_name.starts_with(ROUTE)
-        || full_name == DEPLOYMENT
-        || family == Some(LAYOUT)
+        || full_name == DEPLOYMENT_SECTION
+        || family == Some(LAYOUT_SECTION)
 }
