--- a/crates/core/src/config/document.rs
+++ b/crates/core/src/config/document.rs
@@ -113,26 +113,26 @@
 }
 
 impl Delta {
-    /// What several deltas, each of which goes on from the one before, come to together. A section
+    /// What several deltas, each of which goes on from the one before, come to merged. A section
     /// that came and went again is removed, also where it never was; [`Document::apply`] allows it.
-    pub fn together<'a>(deltas: impl IntoIterator<Item = &'a Delta>) -> Delta {
+    pub fn merge<'a>(deltas: impl IntoIterator<Item = &'a Delta>) -> Delta {
         let mut last = BTreeMap::new();
         for delta in deltas {
             last.extend(delta.removed.iter().map(|name| (name, None)));
             last.extend(delta.changed.iter().map(|(name, section)| (name, Some(section))));
         }
-        let mut together = Delta::default();
+        let mut merged = Delta::default();
         for (name, section) in last {
             match section {
-                Some(section) => drop(together.changed.insert(name.clone(), section.clone())),
-                None => together.removed.push(name.clone()),
+                Some(section) => drop(merged.changed.insert(name.clone(), section.clone())),
+                None => merged.removed.push(name.clone()),
             }
         }
-        together
+        merged
     }
 
     /// Names of all sections that it touches.
-    pub fn names(&self) -> impl Iterator<Item = &SectionName> {
+    pub fn section_names(&self) -> impl Iterator<Item = &SectionName> {
         self.changed.keys().chain(&self.removed)
     }
 }
--- a/crates/core/src/config/route.rs
+++ b/crates/core/src/config/route.rs
@@ -71,7 +71,7 @@
 
 impl RouteSpec {
     /// The target that a number drawn evenly from all 64-bit values leads to.
-    pub fn pick(&self, draw: u64) -> &str {
+    pub fn pick_service(&self, draw: u64) -> &str {
         let sum: u64 = self.targets.iter().map(|target| target.weight).sum();
         let mut at = draw % sum.max(1);
         for target in &self.targets {
--- a/crates/core/src/config/schema.rs
+++ b/crates/core/src/config/schema.rs
@@ -126,14 +126,14 @@
         document: &Document,
         delta: &Delta,
     ) -> Result<Config, ConfigErrors> {
-        if !delta.names().all(|name| is_read_alone(name)) {
+        if !delta.section_names().all(|name| is_read_alone(name)) {
             return Config::check(file, document);
         }
         let mut check = Check::new(file, document);
         let mut config = self.clone();
         config.deployment = check.deployment();
         // All that go are gone before any comes: a route may have the prefix of a former one.
-        for name in delta.names() {
+        for name in delta.section_names() {
             config.forget(name);
         }
         for (full_name, section) in &delta.changed {
--- a/crates/core/src/node/config_changes.rs
+++ b/crates/core/src/node/config_changes.rs
@@ -201,7 +201,7 @@
     /// intermediate versions and stays at most two fetches behind.
     fn merge_from(&self, first: usize) -> EncodedChange {
         let recent = || self.recent.range(first..);
-        let delta = Delta::together(recent().map(|recent| &recent.delta));
+        let delta = Delta::merge(recent().map(|recent| &recent.delta));
         let (base, newest) =
             (&self.recent[first].encoded.id, &self.recent[self.recent.len() - 1].encoded.id);
         EncodedChange::new(AcceptedChange {
--- a/crates/server/src/relay/admission.rs
+++ b/crates/server/src/relay/admission.rs
@@ -67,7 +67,7 @@
         let workspace_spec = workspace.as_ref().and_then(|name| config.config.workspaces.get(name));
         let tier = workspace_spec.map(|spec| spec.tier.as_str()).or(route.spec.tier.as_deref());
         let rank = tier_rank(&config.config, tier);
-        let service = route.spec.pick(fastrand::u64(..)).to_owned();
+        let service = route.spec.pick_service(fastrand::u64(..)).to_owned();
         let timeout = caller.time_left.unwrap_or(route.spec.timeout).min(route.spec.timeout);
         let deadline = received_at + timeout;
         let job = Job {
