--- a/crates/core/src/config/endpoint.rs
+++ b/crates/core/src/config/endpoint.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointSpec {
     /// When its run was started, if it has told; another run has nothing of what was known of it.
-    pub born: u64,
+    pub started_at: u64,
     /// Data hall it stands in.
     pub hall: String,
     /// Where it listens.
@@ -45,7 +45,7 @@
     /// Whether it refuses orders that carry an old fence.
     pub checks_fence: bool,
     /// Whether a generation that runs here can be moved to another endpoint.
-    pub moves: bool,
+    pub supports_relocation: bool,
     /// What it bears while it is cold; nothing where a start makes no difference.
     pub cold_start: Option<ColdStart>,
 }
@@ -72,14 +72,14 @@
         }
     };
     Some(EndpointSpec {
-        born: 0,
+        started_at: 0,
         hall,
         address: address?,
         target,
         slots,
         kv_tokens,
         checks_fence,
-        moves: false,
+        supports_relocation: false,
         cold_start: None,
     })
 }
--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -25,9 +25,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ColdStart {
     /// How long they are cold after a start.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Least mean time between two requests, from all callers together.
-    pub interval: Duration,
+    pub min_interval: Duration,
 }
 
 /// A service.
@@ -57,9 +57,9 @@
     /// Bandwidth for copies between engines, in Mbit/s.
     pub link_mbps: u64,
     /// Whether a running generation can be moved to another engine.
-    pub moves: bool,
+    pub supports_relocation: bool,
     /// Whether an engine can keep a copy of a generation that runs at another.
-    pub backups: bool,
+    pub supports_backups: bool,
     /// The longest time for which an engine keeps a place; none where engines keep no places.
     pub longest_reservation: Option<Duration>,
 }
@@ -73,16 +73,16 @@
         kv_tokens: r.number("kv_tokens", None, 1, MAX_TOKENS),
         token_bytes: r.number("token_bytes", Some(DEFAULT_TOKEN_BYTES), 1, 1 << 32),
         link_mbps: r.number("link_mbps", Some(10_000), 1, 1 << 32),
-        moves: r.flag("moves", Some(false)),
-        backups: r.flag("backups", Some(false)),
+        supports_relocation: r.flag("moves", Some(false)),
+        supports_backups: r.flag("backups", Some(false)),
         longest_reservation: r
             .raw("longest_reservation")
             .is_some()
             .then(|| r.duration("longest_reservation", None)),
     });
     let cold_start = r.raw("cold_start").is_some().then(|| ColdStart {
-        lasts: r.duration("cold_start", None),
-        interval: r.duration("cold_interval", None),
+        duration: r.duration("cold_start", None),
+        min_interval: r.duration("cold_interval", None),
     });
     ServiceSpec { calls: BTreeMap::new(), max_connections, health_path, cold_start, engine }
 }
--- a/crates/core/src/placement/cold_start.rs
+++ b/crates/core/src/placement/cold_start.rs
@@ -16,7 +16,7 @@
 
 /// Time between two requests of one sender to the same cold endpoint.
 pub fn cold_interval(role: SenderRole, cold_start: ColdStart) -> Duration {
-    role.interval(cold_start.interval, RATE_SPLIT)
+    role.interval(cold_start.min_interval, RATE_SPLIT)
 }
 
 /// Paces the requests of one sender to a cold endpoint.
--- a/crates/core/src/placement/cold_start_tests.rs
+++ b/crates/core/src/placement/cold_start_tests.rs
@@ -22,7 +22,10 @@
 const OVERLOAD_RATE: usize = 35;
 
 fn cold_start() -> ColdStart {
-    ColdStart { lasts: Duration::from_secs(1), interval: Duration::from_millis(1_000 / COLD_RATE) }
+    ColdStart {
+        duration: Duration::from_secs(1),
+        min_interval: Duration::from_millis(1_000 / COLD_RATE),
+    }
 }
 
 /// Cold engines with large memory.
--- a/crates/core/src/placement/endpoint_updates.rs
+++ b/crates/core/src/placement/endpoint_updates.rs
@@ -73,7 +73,7 @@
         let Some(until) = endpoint.on_failure(now) else { return };
         if let Some(cold_start) = endpoint.spec.cold_start {
             // It may have restarted by the time of the next attempt, without having reported it yet.
-            self.mark_cold(name, until.after(cold_start.lasts), until);
+            self.mark_cold(name, until.after(cold_start.duration), until);
         }
     }
 
@@ -158,5 +158,5 @@
 
 /// Whether both specs describe the same run of an endpoint, so that its state remains valid.
 fn is_same_run(known: &EndpointSpec, now: &EndpointSpec) -> bool {
-    known.address == now.address && known.born == now.born
+    known.address == now.address && known.started_at == now.started_at
 }
--- a/crates/core/src/placement/evacuation.rs
+++ b/crates/core/src/placement/evacuation.rs
@@ -118,7 +118,10 @@
         let leaving = self.moves.leaving.iter().filter_map(|name| self.endpoints.get(name));
         // An endpoint that has returned at another address under the same name is not leaving.
         leaving.filter(move |state| {
-            enabled && state.health == Health::Leaving && state.spec.moves && 0 < state.running
+            enabled
+                && state.health == Health::Leaving
+                && state.spec.supports_relocation
+                && 0 < state.running
         })
     }
 
--- a/crates/core/src/placement/fixture.rs
+++ b/crates/core/src/placement/fixture.rs
@@ -17,14 +17,14 @@
 pub(super) fn engines(halls: &[&str], kv_tokens: u64) -> Endpoints {
     let spec = |(i, hall): (usize, &&str)| {
         let spec = EndpointSpec {
-            born: 0,
+            started_at: 0,
             hall: (*hall).to_owned(),
             address: format!("10.0.0.{}:80", i + 1).parse().unwrap(),
             target: EndpointTarget::Model("m".into()),
             slots: 48,
             kv_tokens,
             checks_fence: false,
-            moves: true,
+            supports_relocation: true,
             cold_start: None,
         };
         (format!("e{i}"), spec)
--- a/crates/core/src/placement/handover.rs
+++ b/crates/core/src/placement/handover.rs
@@ -65,7 +65,10 @@
     fn handover_decision(&mut self, ticket: Ticket, now: Instant) -> Decision {
         let Some(placed) = self.placed.get(&ticket) else { return Decision::Stay };
         let Some(source) = self.endpoints.get(&placed.endpoint) else { return Decision::Stay };
-        if source.health == Health::Leaving || !source.spec.moves || placed.req.isolated {
+        if source.health == Health::Leaving
+            || !source.spec.supports_relocation
+            || placed.req.isolated
+        {
             return Decision::Stay;
         }
         let demand = self.remaining_demand(placed);
--- a/crates/core/src/placement/policy/forecast.rs
+++ b/crates/core/src/placement/policy/forecast.rs
@@ -136,7 +136,8 @@
     ) -> f64 {
         let token_seconds = baseline.speeds.expected_token_seconds(endpoint, now);
         let slow_decode = demand.output * (token_seconds - baseline.min_token_seconds).max(0.0);
-        let can_move = endpoint.spec.moves && self.disabled.allows(Mechanism::Handover);
+        let can_move =
+            endpoint.spec.supports_relocation && self.disabled.allows(Mechanism::Handover);
         let decode_delay = if can_move && 0 < demand.prompt_tokens {
             slow_decode.min(HANDOVER_COST_SECONDS)
         } else {
--- a/crates/core/src/placement/tests.rs
+++ b/crates/core/src/placement/tests.rs
@@ -239,7 +239,7 @@
     scheduler.endpoint_leaving("e0", true);
     let moving = scheduler.plan_relocations(fixture::ms(2)).len();
 
-    known.get_mut("e0").unwrap().born = 200;
+    known.get_mut("e0").unwrap().started_at = 200;
     scheduler.configure(&known);
     scheduler.endpoint_leaving("e0", false);
 
--- a/crates/core/src/registry/mod.rs
+++ b/crates/core/src/registry/mod.rs
@@ -298,14 +298,14 @@
                 continue;
             };
             let spec = EndpointSpec {
-                born: known.record.born,
+                started_at: known.record.born,
                 hall: known.record.hall.clone(),
                 address: known.address,
                 target: EndpointTarget::Model(known.record.service.clone()),
                 slots: known.record.slots.min(engine.slots),
                 kv_tokens: engine.kv_tokens,
                 checks_fence: false,
-                moves: engine.moves,
+                supports_relocation: engine.supports_relocation,
                 cold_start: service.and_then(|service| service.cold_start),
             };
             endpoints.insert(id.to_string(), spec);
@@ -324,7 +324,7 @@
         for known in self.known.values_mut().filter(|known| known.record.hall == hall) {
             let service = config.services.get(&known.record.service);
             if let Some(cold_start) = service.and_then(|service| service.cold_start) {
-                known.cool(now.after(cold_start.lasts));
+                known.cool(now.after(cold_start.duration));
                 self.revision += 1;
             }
         }
--- a/crates/lab/src/fleet/engines.rs
+++ b/crates/lab/src/fleet/engines.rs
@@ -78,14 +78,14 @@
     pub(crate) fn spec(&self) -> EndpointSpec {
         let number = self.number as u32 + 1;
         EndpointSpec {
-            born: 0,
+            started_at: 0,
             hall: format!("h{}", self.hall),
             address: (std::net::Ipv4Addr::from(number), 80).into(),
             target: EndpointTarget::Model(MODEL.into()),
             slots: SPEC.slots as u64,
             kv_tokens: SPEC.kv_tokens,
             checks_fence: false,
-            moves: true,
+            supports_relocation: true,
             cold_start: None,
         }
     }
--- a/crates/server/src/relay/load_balancer.rs
+++ b/crates/server/src/relay/load_balancer.rs
@@ -86,7 +86,7 @@
         endpoint: &RegisteredEndpoint,
         policy: &ColdStartPolicy,
     ) -> Option<units::Instant> {
-        let lasts = policy.limits.lasts;
+        let lasts = policy.limits.duration;
         let left = |retry_at: Instant| (retry_at + lasts).checked_duration_since(Instant::now());
         let restart_until = self.retry_at.and_then(left).map(|left| policy.now.after(left));
         endpoint.cold_until.max(restart_until)
--- a/crates/server/src/relay/tests/cold_start.rs
+++ b/crates/server/src/relay/tests/cold_start.rs
@@ -31,7 +31,7 @@
 }
 
 fn policy(daemons: u64, now: Instant) -> ColdStartPolicy {
-    let limits = ColdStart { lasts: SECOND, interval: SECOND / COLD_RPS };
+    let limits = ColdStart { duration: SECOND, min_interval: SECOND / COLD_RPS };
     ColdStartPolicy { limits, senders: SenderRole::one_of(daemons), now }
 }
 
