--- a/crates/core/src/config/check.rs
+++ b/crates/core/src/config/check.rs
@@ -142,10 +142,8 @@
     }
 
     fn limits(&mut self) -> CallerLimits {
-        let Some(section) = self.document.section(LIMITS_SECTION) else {
-            return CallerLimits::default();
-        };
-        let mut r = SectionReader::new(self.file, LIMITS_SECTION, section, &mut self.errors);
+        let Some(keys) = self.document.section(LIMITS_SECTION) else { return Default::default() };
+        let mut r = SectionReader::new(self.file, LIMITS_SECTION, keys, &mut self.errors);
         let limits = limits::read(&mut r);
         r.finish();
         limits
