--- a/crates/core/src/node/endpoint_sync_tests.rs
+++ b/crates/core/src/node/endpoint_sync_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how a daemon that is linked anew gets to know the endpoints.
+//! Tests of the synchronization of endpoints when links come up.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -46,23 +46,23 @@
     }
 }
 
-/// An entry and control VMs, and what the entry was sent. Control VMs do not hear each other.
-struct Links {
+/// An entry and control VMs without links between each other.
+struct Cluster {
     nodes: BTreeMap<VmName, Node>,
-    /// Who answers the entry's polls.
+    /// The control VM that replies to the entry's polls.
     leader: Option<VmName>,
-    /// Control VMs that take and send nothing.
+    /// Control VMs whose messages are lost in both directions.
     silent: Vec<VmName>,
     now_ms: u64,
-    /// Records that the entry was sent.
-    sent: usize,
-    /// Records that each control VM was told by the entry.
-    told: BTreeMap<VmName, Vec<EndpointRecord>>,
+    /// Number of records sent to the entry.
+    sent_to_entry: usize,
+    /// Records that the entry has sent to each control VM.
+    sent_to_control: BTreeMap<VmName, Vec<EndpointRecord>>,
 }
 
-impl Links {
-    /// Control VMs that know these endpoints from before their start, and an entry.
-    fn new(known: &[Vec<usize>]) -> Links {
+impl Cluster {
+    /// An entry and control VMs that have restored these endpoints.
+    fn new(known: &[Vec<usize>]) -> Cluster {
         let mut nodes = BTreeMap::new();
         nodes.insert(ENTRY.into(), Node::entry(&options(ENTRY), Instant(0)));
         for (n, known) in known.iter().enumerate() {
@@ -73,7 +73,14 @@
             node.handle(Input::RestoreEndpoints(records), clocks(0));
             nodes.insert(vm, node);
         }
-        Links { nodes, leader: None, silent: Vec::new(), now_ms: 1, sent: 0, told: BTreeMap::new() }
+        Cluster {
+            nodes,
+            leader: None,
+            silent: Vec::new(),
+            now_ms: 1,
+            sent_to_entry: 0,
+            sent_to_control: BTreeMap::new(),
+        }
     }
 
     fn link(&mut self, n: usize) {
@@ -86,13 +93,13 @@
         self.input(&control(n), Input::LinkDown(ENTRY.into()));
     }
 
-    /// Lets a control VM lead, as far as the entry knows.
-    fn lead(&mut self, n: usize) {
+    /// Makes a control VM the leader.
+    fn set_leader(&mut self, n: usize) {
         self.leader = Some(control(n));
     }
 
-    /// Answers a poll in the leader's place.
-    fn answer_poll(&mut self, leader: VmName, nonce: u64) {
+    /// Replies to a poll as the leader.
+    fn reply_to_poll(&mut self, leader: VmName, nonce: u64) {
         let reply = PollReply { nonce, term: 1, daemons: 3, ..PollReply::default() };
         self.input(&ENTRY.into(), Input::Message(leader, Body::PollReply(reply)));
     }
@@ -111,15 +118,15 @@
         }
         if let Body::EndpointNews(EndpointNews { records, .. }) = &body {
             if *to == *ENTRY {
-                self.sent += records.len();
+                self.sent_to_entry += records.len();
             } else if *from == *ENTRY {
-                self.told.entry(to.clone()).or_default().extend(records.clone());
+                self.sent_to_control.entry(to.clone()).or_default().extend(records.clone());
             }
         }
         if let Body::Poll(poll) = &body
             && self.leader.as_ref() == Some(&to)
         {
-            return self.answer_poll(to, poll.nonce);
+            return self.reply_to_poll(to, poll.nonce);
         }
         let is_between_control = *from != *ENTRY && *to != *ENTRY;
         if !is_between_control && self.nodes.contains_key(&to) {
@@ -127,7 +134,7 @@
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn run(&mut self, ms: u64) {
         let until = self.now_ms + ms;
         while self.now_ms < until {
             self.now_ms += 5;
@@ -137,7 +144,7 @@
         }
     }
 
-    /// Names of the endpoints that the entry knows.
+    /// Ids of the endpoints that the entry knows.
     fn known(&self) -> Vec<String> {
         self.nodes[ENTRY].registry.records().map(|record| record.id.clone()).collect()
     }
@@ -156,109 +163,109 @@
 
 #[gtest]
 fn entry_fetches_restored_endpoints() {
-    let mut links = Links::new(&[vec![1]]);
+    let mut cluster = Cluster::new(&[vec![1]]);
 
-    links.link(1);
-    links.pass(100);
+    cluster.link(1);
+    cluster.run(100);
 
-    expect_that!(links.known(), eq(&names([1])));
+    expect_that!(cluster.known(), eq(&names([1])));
 }
 
 #[gtest]
 fn entry_fetches_each_endpoint_once() {
     let all: Vec<usize> = (0..500).collect();
-    let mut links = Links::new(&[all.clone(), all.clone(), all.clone()]);
+    let mut cluster = Cluster::new(&[all.clone(), all.clone(), all.clone()]);
 
     for n in 1..=3 {
-        links.link(n);
+        cluster.link(n);
     }
-    links.pass(300);
+    cluster.run(300);
 
-    expect_that!(links.known(), eq(&names(all)));
-    expect_that!(links.sent, eq(500));
+    expect_that!(cluster.known(), eq(&names(all)));
+    expect_that!(cluster.sent_to_entry, eq(500));
 }
 
 #[gtest]
 fn relinked_entry_fetches_nothing_known() {
-    let mut links = Links::new(&[(0..500).collect()]);
-    links.link(1);
-    links.pass(200);
-    let before = links.sent;
+    let mut cluster = Cluster::new(&[(0..500).collect()]);
+    cluster.link(1);
+    cluster.run(200);
+    let before = cluster.sent_to_entry;
 
-    links.unlink(1);
-    links.link(1);
-    links.pass(200);
+    cluster.unlink(1);
+    cluster.link(1);
+    cluster.run(200);
 
-    expect_that!(links.sent, eq(before));
+    expect_that!(cluster.sent_to_entry, eq(before));
 }
 
 #[gtest]
 fn silent_control_vm_is_skipped() {
     let all: Vec<usize> = (0..100).collect();
     for silent in 1..=2 {
-        let mut links = Links::new(&[all.clone(), all.clone()]);
-        links.link(1);
-        links.link(2);
-        links.silent.push(control(silent));
-        links.pass(1_500);
+        let mut cluster = Cluster::new(&[all.clone(), all.clone()]);
+        cluster.link(1);
+        cluster.link(2);
+        cluster.silent.push(control(silent));
+        cluster.run(1_500);
 
-        expect_that!(links.known(), eq(&names(all.clone())), "{silent}");
+        expect_that!(cluster.known(), eq(&names(all.clone())), "{silent}");
     }
 }
 
 #[gtest]
 fn leader_receives_endpoints_it_lacks() {
-    let mut links = Links::new(&[vec![1, 2], vec![1, 2, 7]]);
-    links.link(1);
-    links.link(2);
-    links.lead(1);
+    let mut cluster = Cluster::new(&[vec![1, 2], vec![1, 2, 7]]);
+    cluster.link(1);
+    cluster.link(2);
+    cluster.set_leader(1);
 
-    links.pass(500);
+    cluster.run(500);
 
-    let told = &links.told[&control(1)];
-    expect_that!(told.iter().any(|record| record.id == "i-7"), eq(true));
+    let sent = &cluster.sent_to_control[&control(1)];
+    expect_that!(sent.iter().any(|record| record.id == "i-7"), eq(true));
 }
 
 #[gtest]
 fn leader_receives_nothing_it_knows() {
     let all: Vec<usize> = (0..500).collect();
-    let mut links = Links::new(&[all.clone(), all.clone(), all]);
+    let mut cluster = Cluster::new(&[all.clone(), all.clone(), all]);
     for n in 1..=3 {
-        links.link(n);
+        cluster.link(n);
     }
-    links.lead(1);
+    cluster.set_leader(1);
 
-    links.pass(500);
+    cluster.run(500);
 
-    expect_that!(links.told, is_empty());
+    expect_that!(cluster.sent_to_control, is_empty());
 }
 
 proptest! {
     #![proptest_config(fixed_seed(100))]
 
-    /// Whatever control VMs know and whenever links come up and go down, an entry that is linked to
-    /// all of them knows what any of them knew.
+    /// Whatever the control VMs know and whenever links come up and go down, an entry with links to
+    /// all of them ends with the union of their endpoints.
     #[test]
     fn entry_converges_to_the_union(
         known in proptest::collection::vec(proptest::collection::vec(0usize..300, 0..80), 3),
         steps in proptest::collection::vec((1usize..4, any::<bool>(), 0u64..60), 0..12),
     ) {
-        let mut links = Links::new(&known);
+        let mut cluster = Cluster::new(&known);
         let mut up = [false; 4];
         for (n, link, ms) in steps {
             if link && !up[n] {
-                links.link(n);
+                cluster.link(n);
             } else if !link && up[n] {
-                links.unlink(n);
+                cluster.unlink(n);
             }
             up[n] = link;
-            links.pass(ms);
+            cluster.run(ms);
         }
         for n in (1..=3).filter(|n| !up[*n]) {
-            links.link(n);
+            cluster.link(n);
         }
-        links.pass(500);
+        cluster.run(500);
 
-        prop_assert_eq!(links.known(), names(known.into_iter().flatten()));
+        prop_assert_eq!(cluster.known(), names(known.into_iter().flatten()));
     }
 }
--- a/crates/core/src/node/endpoint_tests.rs
+++ b/crates/core/src/node/endpoint_tests.rs
@@ -1,4 +1,4 @@
-//! How news of endpoints that register themselves spreads between daemons.
+//! Tests of how records of endpoints spread between daemons and are published and saved.
 
 use std::time::Duration;
 
@@ -34,18 +34,18 @@
     Node::entry(&options, Instant(0))
 }
 
-/// Links an entry to two control VMs and lets the first one answer as the leader.
+/// An entry with links to two control VMs, the first of which is the leader.
 fn linked_entry(leader: &VmName, other: &VmName) -> Node {
     let mut node = entry();
     let mut outputs = node.handle(Input::LinkUp(leader.clone()), clocks(1));
     outputs.extend(node.handle(Input::LinkUp(other.clone()), clocks(1)));
-    let reply = answer_of(leader, &outputs);
+    let reply = poll_reply(leader, &outputs);
     node.handle(Input::Message(leader.clone(), reply), clocks(2));
     node
 }
 
-/// The leader's answer to the poll that it was sent.
-fn answer_of(leader: &VmName, outputs: &[Output]) -> Body {
+/// The leader's reply to the poll in these outputs.
+fn poll_reply(leader: &VmName, outputs: &[Output]) -> Body {
     let nonce = outputs.iter().find_map(|output| match output {
         Output::Send(to, Body::Poll(poll)) if to == leader => Some(poll.nonce),
         _ => None,
@@ -54,7 +54,7 @@
     Body::PollReply(reply)
 }
 
-fn leaving() -> Body {
+fn leaving_news() -> Body {
     let record = EndpointRecord {
         id: "e".into(),
         service: "s".into(),
@@ -66,7 +66,7 @@
     Body::EndpointNews(EndpointNews::new(vec![record]))
 }
 
-fn told(outputs: &[Output], to: &VmName) -> usize {
+fn news_sent(outputs: &[Output], to: &VmName) -> usize {
     let is_news =
         |output: &&Output| matches!(output, Output::Send(vm, Body::EndpointNews(_)) if vm == to);
     outputs.iter().filter(is_news).count()
@@ -77,14 +77,14 @@
     let (leader, other): (VmName, VmName) = ("10.0.0.1".into(), "10.0.0.2".into());
     let mut node = linked_entry(&leader, &other);
 
-    let at_once = node.handle(Input::Message(other.clone(), leaving()), clocks(3));
+    let at_once = node.handle(Input::Message(other.clone(), leaving_news()), clocks(3));
     let soon = node.handle(Input::Tick, clocks(100));
-    let again = node.handle(Input::Message(other, leaving()), clocks(101));
+    let again = node.handle(Input::Message(other, leaving_news()), clocks(101));
     let later = node.handle(Input::Tick, clocks(300));
 
-    expect_that!(told(&at_once, &leader), eq(0));
-    expect_that!(told(&soon, &leader), eq(1));
-    expect_that!(told(&again, &leader) + told(&later, &leader), eq(0));
+    expect_that!(news_sent(&at_once, &leader), eq(0));
+    expect_that!(news_sent(&soon, &leader), eq(1));
+    expect_that!(news_sent(&again, &leader) + news_sent(&later, &leader), eq(0));
 }
 
 #[gtest]
@@ -92,11 +92,11 @@
     let (leader, other): (VmName, VmName) = ("10.0.0.1".into(), "10.0.0.2".into());
     let mut node = linked_entry(&leader, &other);
 
-    node.handle(Input::Message(other, leaving()), clocks(3));
-    node.handle(Input::Message(leader.clone(), leaving()), clocks(30));
+    node.handle(Input::Message(other, leaving_news()), clocks(3));
+    node.handle(Input::Message(leader.clone(), leaving_news()), clocks(30));
     let later = node.handle(Input::Tick, clocks(300));
 
-    expect_that!(told(&later, &leader), eq(0));
+    expect_that!(news_sent(&later, &leader), eq(0));
 }
 
 #[gtest]
@@ -104,17 +104,17 @@
     let (leader, other): (VmName, VmName) = ("10.0.0.1".into(), "10.0.0.2".into());
     let mut node = entry();
     node.handle(Input::LinkUp(other.clone()), clocks(1));
-    node.handle(Input::Message(other, leaving()), clocks(2));
+    node.handle(Input::Message(other, leaving_news()), clocks(2));
     let without = node.handle(Input::Tick, clocks(300));
-    let waits = node.next_tick();
+    let next_tick = node.next_tick();
     let mut outputs = node.handle(Input::LinkUp(leader.clone()), clocks(301));
-    let reply = answer_of(&leader, &outputs);
+    let reply = poll_reply(&leader, &outputs);
     outputs = node.handle(Input::Message(leader.clone(), reply), clocks(302));
     outputs.extend(node.handle(Input::Tick, clocks(600)));
 
-    expect_that!(told(&without, &leader), eq(0));
-    expect_that!(waits, gt(Instant(300_000)));
-    expect_that!(told(&outputs, &leader), eq(1));
+    expect_that!(news_sent(&without, &leader), eq(0));
+    expect_that!(next_tick, gt(Instant(300_000)));
+    expect_that!(news_sent(&outputs, &leader), eq(1));
 }
 
 #[gtest]
@@ -122,13 +122,13 @@
     let (leader, other): (VmName, VmName) = ("10.0.0.1".into(), "10.0.0.2".into());
     let mut node = linked_entry(&leader, &other);
 
-    let mut outputs = node.handle(Input::Message(leader.clone(), leaving()), clocks(3));
+    let mut outputs = node.handle(Input::Message(leader.clone(), leaving_news()), clocks(3));
     outputs.extend(node.handle(Input::Tick, clocks(300)));
 
-    expect_that!(told(&outputs, &leader), eq(0));
+    expect_that!(news_sent(&outputs, &leader), eq(0));
 }
 
-/// A control VM that is linked to this many entries and knows one endpoint.
+/// A control VM with links to this many entries.
 fn control_vm(entries: usize) -> Node {
     let options = NodeOptions {
         vm: "10.0.0.1".into(),
@@ -171,16 +171,16 @@
     let due = node.next_tick();
     let later = node.handle(Input::Tick, clocks(1_011));
 
-    expect_that!(told(&first, &entry), eq(1));
-    expect_that!(told(&next, &entry), eq(0));
+    expect_that!(news_sent(&first, &entry), eq(1));
+    expect_that!(news_sent(&next, &entry), eq(0));
     expect_that!(due, le(Instant(1_010_000)));
-    expect_that!(told(&later, &entry), eq(1));
+    expect_that!(news_sent(&later, &entry), eq(1));
 }
 
 #[gtest]
 fn publication_of_many_endpoints_is_throttled() {
     let mut node = control_vm(1);
-    let handed_out = |outputs: &[Output]| {
+    let published = |outputs: &[Output]| {
         outputs.iter().filter(|output| matches!(output, Output::Registered(_))).count()
     };
     for id in 0..200 {
@@ -195,13 +195,13 @@
     }
     let later = node.handle(Input::Tick, clocks(3_030));
 
-    expect_that!(handed_out(&first), eq(1));
-    expect_that!(handed_out(&soon), eq(0));
-    expect_that!(handed_out(&later), eq(1));
+    expect_that!(published(&first), eq(1));
+    expect_that!(published(&soon), eq(0));
+    expect_that!(published(&later), eq(1));
 }
 
-/// The endpoints that a node wants kept on disk.
-fn remembered(outputs: &[Output]) -> Option<&Vec<EndpointRecord>> {
+/// The endpoints that a node saves to disk.
+fn saved(outputs: &[Output]) -> Option<&Vec<EndpointRecord>> {
     outputs.iter().rev().find_map(|output| match output {
         Output::SaveEndpoints(records) => Some(records),
         _ => None,
@@ -218,13 +218,13 @@
     let due = node.handle(Input::Tick, clocks(1_300));
     let unchanged = node.handle(heartbeat(2, 2), clocks(2_000));
 
-    expect_that!(remembered(&first).map(Vec::len), some(eq(1)));
-    expect_that!(remembered(&soon), none());
-    expect_that!(remembered(&due).map(Vec::len), some(eq(2)));
-    expect_that!(remembered(&unchanged), none());
+    expect_that!(saved(&first).map(Vec::len), some(eq(1)));
+    expect_that!(saved(&soon), none());
+    expect_that!(saved(&due).map(Vec::len), some(eq(2)));
+    expect_that!(saved(&unchanged), none());
 }
 
-/// What the leader answers when daemons have polled it.
+/// Entry counts in the leader's reply to the last of these polls.
 fn entries_after(node: &mut Node, polls: &[(&str, bool, u64)]) -> Option<EntryDaemons> {
     let mut last = None;
     for (vm, stopping, at) in polls {
@@ -240,7 +240,7 @@
     last
 }
 
-/// A control VM that leads a group of its own.
+/// The only control VM of a group, which leads it.
 fn leader() -> Node {
     let mut node = control_vm(0);
     let mut inputs = vec![Input::Tick];
@@ -275,7 +275,7 @@
     expect_that!(long_stopping, some(eq(EntryDaemons { accepting: 1, stopping: 0 })));
 }
 
-/// A daemon that has a configuration with the service `s` in force.
+/// An entry with an active configuration that has a service `s`.
 fn configured() -> Node {
     let leader: VmName = "10.0.0.1".into();
     let mut node = entry();
@@ -283,7 +283,7 @@
     let document = Document::parse("f", text).unwrap();
     let hash = Bytes::copy_from_slice(&document.content_hash().0);
     let outputs = node.handle(Input::LinkUp(leader.clone()), clocks(1));
-    let Body::PollReply(reply) = answer_of(&leader, &outputs) else { panic!() };
+    let Body::PollReply(reply) = poll_reply(&leader, &outputs) else { panic!() };
     let reply = PollReply { version: 1, hash: hash.clone(), ..reply };
     node.handle(Input::Message(leader.clone(), Body::PollReply(reply)), clocks(2));
     let delta = EncodedDelta::write(&Document::default().delta_to(&document));
@@ -299,7 +299,7 @@
     node.handle(heartbeat(1, 1), clocks(10));
     let known = node.registry.records().next().unwrap().clone();
 
-    let foreign = |id: &str, address: &str| EndpointRecord {
+    let unconfigured = |id: &str, address: &str| EndpointRecord {
         id: id.into(),
         service: "nobody".into(),
         address: address.into(),
@@ -307,7 +307,7 @@
         born: 1 << 50,
         ..known.clone()
     };
-    for record in [foreign(&known.id, "10.9.9.9:1"), foreign("other", &known.address)] {
+    for record in [unconfigured(&known.id, "10.9.9.9:1"), unconfigured("other", &known.address)] {
         node.handle(Input::Heartbeat(record), clocks(20_000));
     }
 
--- a/crates/core/src/node/suspect_tracker_tests.rs
+++ b/crates/core/src/node/suspect_tracker_tests.rs
@@ -1,4 +1,4 @@
-//! How many suspects a daemon says that it knows of.
+//! Tests of the published number of suspects.
 
 use googletest::prelude::*;
 
@@ -16,11 +16,11 @@
 
 const HEARTBEAT: std::time::Duration = std::time::Duration::from_secs(1);
 const REQUEST: [u8; 16] = [7; 16];
-/// The number of the first operation, and of the change by which the end is put on record.
+/// Number of the first operation, and revision of the records that includes the crash.
 const OPERATION: u64 = 1;
 const CHANGE: u64 = 1;
 
-/// A daemon that has seen an endpoint end under a request, and what it has told so far.
+/// A daemon that has reported a crash, and its outputs so far.
 struct Daemon {
     suspects: SuspectTracker,
     operations: Operations,
@@ -36,14 +36,14 @@
             registry: Registry::new(HEARTBEAT),
             out: Outbox::default(),
         };
-        let broke_off = FailedAttempt {
+        let attempt = FailedAttempt {
             request: RequestDigest::from_slice(&REQUEST).unwrap(),
             endpoint: "e".into(),
             started_at: Some(0),
             probe: ProbeOutcome::ConnectionRefused,
             trial: None,
         };
-        daemon.with(|suspects, cx, out| suspects.on_failed_attempt(broke_off, cx, out));
+        daemon.with(|suspects, cx, out| suspects.on_failed_attempt(attempt, cx, out));
         daemon
     }
 
@@ -58,41 +58,41 @@
         act(&mut self.suspects, &mut cx, &mut self.out);
     }
 
-    /// The leader's answer: the end is on record.
-    fn is_answered(&mut self) {
+    /// Receives the leader's reply that the crash is recorded.
+    fn receive_reply(&mut self) {
         let reply = SuspectsReply { number: CHANGE, changed: true };
         self.with(|suspects, cx, out| suspects.on_crash_recorded(OPERATION, reply, cx, out));
     }
 
-    /// The leader's word to all daemons.
-    fn is_told(&mut self) {
+    /// Receives the news that the leader broadcasts.
+    fn receive_news(&mut self) {
         let request = REQUEST.to_vec().into();
         let changes = vec![SuspectChange { request, ended: 1, in_trials: 0 }];
         let news = SuspectNews { after: 0, up_to: CHANGE, reset: false, more: false, changes };
         self.with(|suspects, _, out| suspects.on_news(&news, out));
     }
 
-    /// The number of suspects that it has told last.
-    fn last_told(&self) -> Option<usize> {
-        let told = |output: &Output| match output {
+    /// The last published number of suspects.
+    fn last_published(&self) -> Option<usize> {
+        let suspects = |output: &Output| match output {
             Output::Suspects { suspects, .. } => Some(*suspects),
             _ => None,
         };
-        self.out.outputs.iter().rev().find_map(told)
+        self.out.outputs.iter().rev().find_map(suspects)
     }
 }
 
 #[gtest]
 fn suspect_counts_once_in_any_message_order() {
-    let mut answered_first = Daemon::with_reported_crash();
-    answered_first.is_answered();
-    answered_first.is_told();
-    let mut told_first = Daemon::with_reported_crash();
-    told_first.is_told();
-    let between = told_first.last_told();
-    told_first.is_answered();
+    let mut reply_first = Daemon::with_reported_crash();
+    reply_first.receive_reply();
+    reply_first.receive_news();
+    let mut news_first = Daemon::with_reported_crash();
+    news_first.receive_news();
+    let between = news_first.last_published();
+    news_first.receive_reply();
 
-    expect_that!(answered_first.last_told(), some(eq(1)));
+    expect_that!(reply_first.last_published(), some(eq(1)));
     expect_that!(between, some(eq(1)));
-    expect_that!(told_first.last_told(), some(eq(1)));
+    expect_that!(news_first.last_published(), some(eq(1)));
 }
--- a/crates/core/src/node/tests/backoff.rs
+++ b/crates/core/src/node/tests/backoff.rs
@@ -1,7 +1,5 @@
-//! Endpoints that ask a daemon to back off, in whole nodes: the daemon keeps to it whoever places its requests, and
-//! the others know a moment after.
-//!
-//! The story of the failure that this guards against is in `relay::tests::backoff` of the server.
+//! Backoff of endpoints that reject requests, in whole nodes: it holds for the rejected daemon with and
+//! without a leader, and spreads to the others.
 
 use std::time::Duration;
 
@@ -16,12 +14,12 @@
     node::{Input, Node, NodeCall, VmName},
 };
 
-/// The endpoint that the configuration lists.
+/// The endpoint in the configuration.
 const ENDPOINT: &str = "e0";
-/// More than any request waits for a place.
-const LONG: Duration = Duration::from_secs(10);
-/// Less than that.
-const SHORT: Duration = Duration::from_millis(800);
+/// Longer than any request waits for a place.
+const LONG_BACKOFF: Duration = Duration::from_secs(10);
+/// Shorter than requests wait for a place.
+const SHORT_BACKOFF: Duration = Duration::from_millis(800);
 
 fn reject(net: &mut Net, vm: &str, retry_after: Duration) {
     let rejection =
@@ -29,7 +27,7 @@
     net.handle(&vm.into(), Input::Rejected(rejection));
 }
 
-/// Asks for a place at a VM and waits for the answer; returns whether there is one.
+/// Requests a place at a VM and returns whether it is granted.
 fn is_placed(net: &mut Net, vm: &str) -> bool {
     let before = net.observed.placed.len();
     let call = net.ask(&vm.into(), NodeCall::Place(request()));
@@ -46,35 +44,35 @@
 fn leader_skips_endpoints_that_back_off_the_daemon() {
     let mut net = configured_net(&Site::new(3, 2), 31);
 
-    reject(&mut net, "vm-4", LONG);
-    let asked = net.time();
+    reject(&mut net, "vm-4", LONG_BACKOFF);
+    let requested = net.time();
     let own = is_placed(&mut net, "vm-4");
-    let waited = net.time().since(asked);
-    let of_another = is_placed(&mut net, "vm-5");
+    let waited = net.time().since(requested);
+    let other = is_placed(&mut net, "vm-5");
 
     expect_false!(own);
     expect_that!(waited, le(Duration::from_millis(500)));
     expect_that!(net.observed.rejected, elements_are![eq(&"overloaded")]);
-    expect_true!(of_another);
+    expect_true!(other);
 }
 
 #[gtest]
 fn waiting_request_is_placed_after_the_backoff() {
     let mut net = configured_net(&Site::new(3, 2), 32);
 
-    reject(&mut net, "vm-4", SHORT);
-    let asked = net.time();
+    reject(&mut net, "vm-4", SHORT_BACKOFF);
+    let requested = net.time();
     let placed = is_placed(&mut net, "vm-4");
 
     expect_true!(placed);
-    expect_that!(net.time().since(asked), all![ge(SHORT), le(SHORT * 2)]);
+    expect_that!(net.time().since(requested), all![ge(SHORT_BACKOFF), le(SHORT_BACKOFF * 2)]);
 }
 
 #[gtest]
 fn backoff_survives_leader_failover() {
     for seed in 33..43 {
         let mut net = configured_net(&Site::new(3, 2), seed);
-        reject(&mut net, "vm-4", LONG);
+        reject(&mut net, "vm-4", LONG_BACKOFF);
         net.run(5);
 
         let leader = net.leader().unwrap();
@@ -91,7 +89,7 @@
     net.replicas().iter().for_each(|vm| net.crash(vm));
     net.run(50);
 
-    reject(&mut net, "vm-4", LONG);
+    reject(&mut net, "vm-4", LONG_BACKOFF);
 
     expect_false!(is_placed(&mut net, "vm-4"));
     expect_true!(is_placed(&mut net, "vm-5"));
@@ -101,7 +99,7 @@
 fn other_daemons_use_the_endpoint_as_last_resort() {
     let mut net = configured_net(&Site::new(3, 3), 35);
 
-    reject(&mut net, "vm-4", LONG);
+    reject(&mut net, "vm-4", LONG_BACKOFF);
     net.run(20);
 
     for vm in net.vms() {
@@ -115,7 +113,7 @@
 #[gtest]
 fn suspended_daemon_resumes_after_the_backoff() {
     let mut net = configured_net(&Site::new(3, 2), 36);
-    reject(&mut net, "vm-4", SHORT);
+    reject(&mut net, "vm-4", SHORT_BACKOFF);
 
     net.hosts.get_mut("vm-4").unwrap().suspended = true;
     net.run(100);
--- a/crates/core/src/node/tests/bootstrap.rs
+++ b/crates/core/src/node/tests/bootstrap.rs
@@ -1,31 +1,31 @@
-//! A group that is founded from three seeds, grows to five, and loses disks and VMs.
+//! Bootstrap of the control group from three seeds, growth to five replicas, and loss of disks and VMs.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
 
 use super::net::{Net, Site};
 
-/// Five control replicas, of which three are named to all daemons, and two entries.
+/// Five control replicas, three of them seeds, and two entries.
 fn large_site() -> Site {
     Site::new(5, 2)
 }
 
-/// Steps after which all is repaired: a new replica has learned, its former self was removed
-/// after some seconds, and it votes.
+/// Steps until a lost replica is replaced: the new one has caught up, the old one was removed, and the
+/// new one votes.
 const REPAIR_STEPS: usize = 600;
 
-/// How many replicas the leader counts as voters.
+/// Number of voters according to the leader.
 fn voters(net: &Net) -> usize {
-    let status = net.control(&net.leader().expect("somebody leads"));
+    let status = net.control(&net.leader().expect("there is a leader"));
     status.replicas.iter().filter(|replica| replica.voter).count()
 }
 
-/// Whether the leader says that one more loss is borne.
+/// Whether the leader reports that the group tolerates one more loss.
 fn survives_next_loss(net: &Net) -> bool {
-    net.control(&net.leader().expect("somebody leads")).survives_next_loss
+    net.control(&net.leader().expect("there is a leader")).survives_next_loss
 }
 
-/// Links that break and daemons that freeze, but none that crash.
+/// Runs with broken links and suspended daemons, without crashes.
 fn run_with_link_faults(net: &mut Net, steps: usize) {
     for _ in 0..steps {
         net.step(true);
@@ -39,7 +39,7 @@
     }
 }
 
-/// One disk, two disks or a whole VM is lost.
+/// Loses one disk, two disks or a whole VM.
 fn lose_disk_or_vm(net: &mut Net) {
     let replicas = net.replicas();
     let first = net.random(replicas.len() as u64) as usize;
@@ -94,7 +94,7 @@
     net.hosts.get_mut("vm-1").unwrap().bootstraps = true;
     net.start(&"vm-1".into());
 
-    // Links come up and messages arrive before anything else can be decided.
+    // A bootstrap would happen at the start, before the links deliver anything.
     let status = net.control(&"vm-1".into());
 
     expect_that!(status.replicas, len(eq(0)));
@@ -127,7 +127,7 @@
         let mut net = Net::new(&large_site(), seed);
         run_with_link_faults(&mut net, 100);
         net.recover(REPAIR_STEPS);
-        prop_assert_eq!(voters(&net), 5, "after founding");
+        prop_assert_eq!(voters(&net), 5, "after bootstrap");
         for _ in 0..3 {
             net.run_with_faults(120);
             net.recover(REPAIR_STEPS);
@@ -138,7 +138,7 @@
         net.recover(REPAIR_STEPS);
 
         let accepted = net.observed.accepted;
-        prop_assert!(0 < accepted, "nothing was accepted");
+        prop_assert!(0 < accepted, "no version was accepted");
         for vm in net.vms() {
             prop_assert!(accepted <= net.version_at(&vm), "{} is behind", vm);
         }
--- a/crates/core/src/node/tests/crash_retries.rs
+++ b/crates/core/src/node/tests/crash_retries.rs
@@ -1,7 +1,5 @@
-//! Callers that repeat a request which ends whatever runs it, in whole nodes.
-//!
-//! These are the parts of the failure that only several daemons show: tries that come through another daemon
-//! each, three at the same time before any endpoint has ended, and control VMs that fail just then.
+//! Callers that retry a crashing request through several daemons, also at the same time and while
+//! control VMs fail: the number of crashed endpoints stays bounded.
 
 use googletest::prelude::*;
 
@@ -11,47 +9,51 @@
 };
 use crate::node::{CallId, Input, TrialAnswer, VmName};
 
-/// Steps of 20 ms in which an endpoint that begins to run the deadly request ends.
-const STEPS_TO_END: usize = 35;
-/// Steps in which every daemon that is not cut off has to know what was told: 3 s.
-const STEPS_TO_KNOW: usize = 150;
-/// Tries that may reach an endpoint after that.
-const ALLOWED: usize = 3;
+/// Steps of 20 ms from the start of an attempt to the crash of its endpoint.
+const STEPS_TO_CRASH: usize = 35;
+/// Steps within which every reachable daemon must know a reported crash: 3 s.
+const STEPS_TO_SPREAD: usize = 150;
+/// Attempts allowed after that.
+const MAX_LATE_ATTEMPTS: usize = 3;
 
-/// A try that runs at an endpoint, which ends at a step.
-struct Run {
+/// An attempt that runs until its endpoint crashes.
+struct Attempt {
     vm: VmName,
-    ends_at: usize,
+    crashes_at: usize,
     trial: Option<CallId>,
 }
 
-/// Callers that repeat the deadly request through one daemon after the other.
+/// Callers that retry the request through one daemon after the other.
 struct Callers {
-    asked: Vec<(VmName, CallId)>,
-    runs: Vec<Run>,
-    /// Steps at which endpoints began to run it, and at which they ended.
-    begun: Vec<usize>,
-    ended: Vec<usize>,
+    pending_trials: Vec<(VmName, CallId)>,
+    running: Vec<Attempt>,
+    /// Steps at which attempts started and at which endpoints crashed.
+    started: Vec<usize>,
+    crashed: Vec<usize>,
     step: usize,
 }
 
 impl Callers {
     fn new() -> Callers {
         Callers {
-            asked: Vec::new(),
-            runs: Vec::new(),
-            begun: Vec::new(),
-            ended: Vec::new(),
+            pending_trials: Vec::new(),
+            running: Vec::new(),
+            started: Vec::new(),
+            crashed: Vec::new(),
             step: 0,
         }
     }
 
-    fn begin(&mut self, vm: &VmName, trial: Option<CallId>) {
-        self.begun.push(self.step);
-        self.runs.push(Run { vm: vm.clone(), ends_at: self.step + STEPS_TO_END, trial });
+    fn start(&mut self, vm: &VmName, trial: Option<CallId>) {
+        self.started.push(self.step);
+        self.running.push(Attempt {
+            vm: vm.clone(),
+            crashes_at: self.step + STEPS_TO_CRASH,
+            trial,
+        });
     }
 
-    /// A try comes to a daemon, which does with it what the server does.
+    /// Sends the request to a daemon, which handles it as the relay does.
     fn send_request(&mut self, net: &mut Net, vm: &VmName) {
         if !net.is_serving(vm) {
             return;
@@ -62,30 +64,30 @@
         }
         if standing.is_suspect() {
             let call = request_trial(net, vm);
-            self.asked.push((vm.clone(), call));
+            self.pending_trials.push((vm.clone(), call));
         } else {
-            self.begin(vm, None);
+            self.start(vm, None);
         }
     }
 
-    /// Lets a step pass: tries that may run begin, and endpoints end under those that have run.
+    /// Runs a step: starts the granted trials and crashes the endpoints that are due.
     fn step(&mut self, net: &mut Net) {
         net.step(false);
         self.step += 1;
-        for (vm, call) in std::mem::take(&mut self.asked) {
+        for (vm, call) in std::mem::take(&mut self.pending_trials) {
             match net.observed.trials.get(&call) {
-                None => self.asked.push((vm, call)),
-                Some(TrialAnswer::Granted { .. }) => self.begin(&vm, Some(call)),
+                None => self.pending_trials.push((vm, call)),
+                Some(TrialAnswer::Granted { .. }) => self.start(&vm, Some(call)),
                 Some(_) => {}
             }
         }
-        let (over, runs) = std::mem::take(&mut self.runs)
+        let (crashed, running) = std::mem::take(&mut self.running)
             .into_iter()
-            .partition(|run: &Run| run.ends_at <= self.step);
-        self.runs = runs;
-        for Run { vm, trial, .. } in over {
-            let endpoint = format!("e{}", self.ended.len());
-            self.ended.push(self.step);
+            .partition(|attempt: &Attempt| attempt.crashes_at <= self.step);
+        self.running = running;
+        for Attempt { vm, trial, .. } in crashed {
+            let endpoint = format!("e{}", self.crashed.len());
+            self.crashed.push(self.step);
             crash_endpoint(net, &vm, &endpoint, trial);
             if let Some(call) = trial {
                 net.handle(&vm, Input::TrialEnded { call, complete: false });
@@ -93,21 +95,21 @@
         }
     }
 
-    /// Tries that began before any daemon could know of an end.
-    fn begun_before_detection(&self) -> usize {
-        let first = self.ended.first().copied().unwrap_or(usize::MAX);
-        self.begun.iter().filter(|begun| **begun <= first + 1).count()
+    /// Attempts that started before any daemon could know of a crash.
+    fn started_before_detection(&self) -> usize {
+        let first = self.crashed.first().copied().unwrap_or(usize::MAX);
+        self.started.iter().filter(|started| **started <= first + 1).count()
     }
 
-    /// Tries that began at an endpoint later than every daemon had to know of the third end.
-    fn begun_after_quarantine(&self) -> usize {
-        let Some(third) = self.ended.get(2) else { return 0 };
-        self.begun.iter().filter(|begun| third + STEPS_TO_KNOW < **begun).count()
+    /// Attempts that started after every daemon had to know of the third crash.
+    fn started_after_quarantine(&self) -> usize {
+        let Some(third) = self.crashed.get(2) else { return 0 };
+        self.started.iter().filter(|started| third + STEPS_TO_SPREAD < **started).count()
     }
 }
 
-/// Lets callers repeat the deadly request every few steps, three at once at first, and a mishap happen in
-/// between; returns them.
+/// Runs callers that send the request to all entries at once and then retry every few steps, with a
+/// fault at a step.
 fn run_retrying_callers(net: &mut Net, fault_at: usize, fault: impl Fn(&mut Net)) -> Callers {
     let entries: Vec<VmName> =
         net.vms().into_iter().filter(|vm| !net.replicas().contains(vm)).collect();
@@ -131,9 +133,9 @@
 
     let callers = run_retrying_callers(&mut net, 0, |_| {});
 
-    // And then two trials, one after the other.
-    expect_that!(callers.ended.len(), eq(callers.begun_before_detection() + 2));
-    expect_that!(callers.begun_after_quarantine(), eq(0));
+    // The request is quarantined after two crashed trials.
+    expect_that!(callers.crashed.len(), eq(callers.started_before_detection() + 2));
+    expect_that!(callers.started_after_quarantine(), eq(0));
 }
 
 #[gtest]
@@ -146,9 +148,13 @@
             net.crash(&leader);
         });
 
-        expect_that!(callers.begun_after_quarantine(), le(ALLOWED), "lost at step {fault_at}");
-        let most = callers.begun_before_detection() + 2 + ALLOWED;
-        expect_that!(callers.ended.len(), le(most), "lost at step {fault_at}");
+        expect_that!(
+            callers.started_after_quarantine(),
+            le(MAX_LATE_ATTEMPTS),
+            "fault at step {fault_at}"
+        );
+        let most = callers.started_before_detection() + 2 + MAX_LATE_ATTEMPTS;
+        expect_that!(callers.crashed.len(), le(most), "fault at step {fault_at}");
     }
 }
 
@@ -163,7 +169,11 @@
             vms.iter().for_each(|vm| net.start(vm));
         });
 
-        expect_that!(callers.begun_after_quarantine(), le(ALLOWED), "lost at step {fault_at}");
+        expect_that!(
+            callers.started_after_quarantine(),
+            le(MAX_LATE_ATTEMPTS),
+            "fault at step {fault_at}"
+        );
     }
 }
 
@@ -179,28 +189,32 @@
             replicas.iter().for_each(|vm| net.start(vm));
         });
 
-        expect_that!(callers.begun_after_quarantine(), le(ALLOWED), "lost at step {fault_at}");
+        expect_that!(
+            callers.started_after_quarantine(),
+            le(MAX_LATE_ATTEMPTS),
+            "fault at step {fault_at}"
+        );
     }
 }
 
 #[gtest]
 fn suspended_vm_allows_few_more_attempts() {
     for fault_at in (1..240).step_by(9) {
-        for leads in [false, true] {
+        for is_leader in [false, true] {
             let mut net = configured_net(&Site::new(3, 3), 16);
 
             let callers = run_retrying_callers(&mut net, fault_at, |net| {
-                let vm = if leads { net.leader().unwrap() } else { "vm-5".into() };
+                let vm = if is_leader { net.leader().unwrap() } else { "vm-5".into() };
                 net.hosts.get_mut(&vm).unwrap().suspended = true;
-                // Longer than anything that rests on time holds.
+                // Longer than all timeouts.
                 net.run(300);
                 net.hosts.get_mut(&vm).unwrap().suspended = false;
             });
 
             expect_that!(
-                callers.begun_after_quarantine(),
-                le(ALLOWED),
-                "leads {leads}, at step {fault_at}"
+                callers.started_after_quarantine(),
+                le(MAX_LATE_ATTEMPTS),
+                "leader {is_leader}, at step {fault_at}"
             );
         }
     }
--- a/crates/core/src/node/tests/halls.rs
+++ b/crates/core/src/node/tests/halls.rs
@@ -1,4 +1,4 @@
-//! Orders about data halls in whole nodes: durable, obeyed everywhere, never taken back by themselves.
+//! Orders about data halls in whole nodes: durable, applied on every daemon and never reverted.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     Site::new(5, 2)
 }
 
-/// A net with a configuration of one engine, in hall `h`, and a leader that all know.
+/// A net with a leader and a configuration of one engine in hall `h`.
 fn configured_net(site: &Site, seed: u64) -> Net {
     let mut net = Net::new(site, seed);
     net.recover(100);
@@ -55,7 +55,7 @@
     net.ask(&net.entry(), NodeCall::Place(request()));
     net.run(5);
     let placed_while_out = net.observed.placed.len();
-    let refused = net.observed.rejected.clone();
+    let rejected = net.observed.rejected.clone();
     let call = net.order_hall(&"vm-2".into(), "h", false);
     net.wait_for_answer(call);
     net.run(2);
@@ -63,7 +63,7 @@
     net.run(5);
 
     expect_that!(placed_while_out, eq(0));
-    expect_that!(refused, eq(&vec!["out_of_service"]));
+    expect_that!(rejected, eq(&vec!["out_of_service"]));
     expect_that!(net.observed.placed.len(), eq(1));
 }
 
@@ -142,12 +142,12 @@
 #[gtest]
 fn outdated_hall_order_has_no_effect() {
     let mut net = configured_net(&large_site(), 7);
-    let cut: VmName =
+    let isolated: VmName =
         net.replicas().into_iter().find(|vm| Some(vm) != net.leader().as_ref()).unwrap();
-    net.partitioned = [cut.clone()].into();
-    net.isolate(&cut);
-    // It waits there for a leader.
-    let late = net.order_hall(&cut, "h", true);
+    net.partitioned = [isolated.clone()].into();
+    net.isolate(&isolated);
+    // The order is queued there until a leader answers.
+    let late = net.order_hall(&isolated, "h", true);
     let out = net.order_hall(&"vm-6".into(), "h", true);
     net.wait_for_answer(out);
     net.run(2);
@@ -170,23 +170,23 @@
 
     net.ask(&"vm-5".into(), NodeCall::ReadHallsOut { limit: Duration::from_secs(1) });
     net.run(10);
-    let told = net.observed.halls_read.clone();
-    // One that is cut off has nobody to confirm it.
+    let reads = net.observed.halls_read.clone();
+    // A partitioned leader cannot confirm its state.
     net.partitioned = [old.clone()].into();
     net.isolate(&old);
     net.ask(&old, NodeCall::ReadHallsOut { limit: Duration::from_secs(1) });
     net.run(100);
 
-    expect_that!(told.len(), eq(1));
-    expect_that!(told[0].as_ref().unwrap().names, elements_are![eq("h")]);
+    expect_that!(reads.len(), eq(1));
+    expect_that!(reads[0].as_ref().unwrap().names, elements_are![eq("h")]);
     expect_that!(net.observed.halls_read[1], none());
 }
 
 proptest! {
     #![proptest_config(fixed_seed(60))]
 
-    /// Under crashes, cuts, frozen VMs and racing operators: no daemon goes back, all end with the
-    /// same, and what was acknowledged and not countermanded is in force.
+    /// Under crashes, partitions, suspended VMs and concurrent operators, no daemon reverts to an older
+    /// state, all converge, and every acknowledged order that was not reversed is applied.
     #[test]
     fn hall_orders_are_monotonic_and_durable(seed in any::<u64>()) {
         let mut net = Net::new(&small_site(), seed);
--- a/crates/core/src/node/tests/leaving_response.rs
+++ b/crates/core/src/node/tests/leaving_response.rs
@@ -1,5 +1,5 @@
-//! Endpoints that say in an answer that they leave: the daemon that has read it sends them nothing new, whatever
-//! control VMs know, and the others hear of it.
+//! Endpoints that announce in a response that they are leaving: the daemon that receives it sends them no
+//! new requests at once, and the announcement spreads to the others.
 
 use googletest::prelude::*;
 
@@ -13,8 +13,8 @@
 };
 
 const ENDPOINT: &str = "e-1";
-/// When its run was started.
-const RUN: u64 = 1_000;
+/// Start time of its process.
+const STARTED_AT: u64 = 1_000;
 
 fn heartbeat(net: &mut Net, vm: &str, started_at: u64, sequence: u64) {
     let record = EndpointRecord {
@@ -39,10 +39,10 @@
     registry.unavailable().all(|closed| **closed != *ENDPOINT)
 }
 
-/// A net whose daemons all know the endpoint.
+/// A net in which all daemons know the endpoint.
 fn with_endpoint(seed: u64) -> Net {
     let mut net = configured_net(&Site::new(3, 3), seed);
-    heartbeat(&mut net, "vm-1", RUN, 1);
+    heartbeat(&mut net, "vm-1", STARTED_AT, 1);
     net.run(20);
     net
 }
@@ -52,7 +52,7 @@
     let mut net = with_endpoint(51);
     let before: Vec<bool> = net.vms().iter().map(|vm| accepts_requests(&net, vm)).collect();
 
-    announce_leaving(&mut net, "vm-4", RUN);
+    announce_leaving(&mut net, "vm-4", STARTED_AT);
     let at_once = accepts_requests(&net, &"vm-4".into());
     net.run(20);
 
@@ -67,9 +67,9 @@
 fn heartbeat_does_not_revoke_leaving() {
     let mut net = with_endpoint(52);
 
-    announce_leaving(&mut net, "vm-4", RUN);
+    announce_leaving(&mut net, "vm-4", STARTED_AT);
     net.run(20);
-    heartbeat(&mut net, "vm-2", RUN, 2);
+    heartbeat(&mut net, "vm-2", STARTED_AT, 2);
     net.run(20);
 
     for vm in net.vms() {
@@ -83,7 +83,7 @@
     net.partitioned = ["vm-4".into()].into();
     net.isolate(&"vm-4".into());
 
-    announce_leaving(&mut net, "vm-4", RUN);
+    announce_leaving(&mut net, "vm-4", STARTED_AT);
     net.run(20);
     let others = accepts_requests(&net, &"vm-5".into());
     net.partitioned.clear();
@@ -98,11 +98,11 @@
 fn leaving_applies_to_one_run() {
     let mut net = with_endpoint(54);
 
-    announce_leaving(&mut net, "vm-4", RUN);
+    announce_leaving(&mut net, "vm-4", STARTED_AT);
     net.run(20);
-    heartbeat(&mut net, "vm-1", RUN + 1, 1);
+    heartbeat(&mut net, "vm-1", STARTED_AT + 1, 1);
     net.run(20);
-    announce_leaving(&mut net, "vm-5", RUN);
+    announce_leaving(&mut net, "vm-5", STARTED_AT);
     net.run(20);
 
     for vm in net.vms() {
--- a/crates/core/src/node/tests/mod.rs
+++ b/crates/core/src/node/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Properties of whole nodes: five daemons, three of them control replicas.
+//! Tests of whole nodes in simulated deployments.
 
 mod backoff;
 mod bootstrap;
@@ -48,7 +48,7 @@
     net.submit(&"vm-4".into(), 1, "a");
     net.recover(20);
     let old = net.leader().unwrap();
-    // The old leader and one daemon are cut off together; the rest go on.
+    // The old leader is partitioned together with one entry.
     net.crash(&"vm-5".into());
     net.partitioned = BTreeSet::from([old.clone(), "vm-5".into()]);
     net.isolate(&old);
@@ -73,7 +73,7 @@
         net.recover(100);
         net.submit(&"vm-4".into(), 1, "a");
         net.recover(20);
-        // One replica hears no other any more, but entries reach it.
+        // One replica loses its links to the others, but keeps those to the entries.
         for other in net.replicas() {
             net.disconnect(&behind, &other);
         }
@@ -87,7 +87,7 @@
 
         net.run(100);
 
-        // That no older version came into force on the way is checked as it runs.
+        // The net checks that no older version is activated meanwhile.
         expect_that!(net.version_at("vm-4"), eq(2), "behind {behind}");
         expect_that!(net.version_at("vm-5"), eq(2), "behind {behind}");
     }
@@ -108,7 +108,7 @@
     let status = net.control(&net.leader().unwrap());
     expect_that!(status.survives_next_loss, eq(true));
     expect_that!(status.replicas.iter().filter(|r| r.voter).count(), eq(3));
-    // The next loss: the accepted version is still there, and another is accepted.
+    // After the next loss, the accepted version is still there and another is accepted.
     net.crash(&"vm-1".into());
     net.run(150);
     net.submit(&"vm-4".into(), 2, "b");
@@ -121,19 +121,19 @@
     for steps in 0..6 {
         let mut net = Net::new(&small_site(), 13);
         net.recover(100);
-        let asker: VmName = "vm-4".into();
-        net.submit(&asker, 1, "a");
+        let vm: VmName = "vm-4".into();
+        net.submit(&vm, 1, "a");
         net.run(steps);
 
-        net.crash(&asker);
-        net.start(&asker);
-        net.submit(&asker, 2, "b");
-        // That the new question is not answered with the former file is checked as it runs.
+        net.crash(&vm);
+        net.start(&vm);
+        net.submit(&vm, 2, "b");
+        // The net checks that the reply belongs to the second file.
         net.run(100);
     }
 }
 
-/// A net without control VMs, whose entries have a configuration of one engine with four places.
+/// A net whose control VMs have crashed and whose entries know one engine with four slots.
 fn without_control() -> Net {
     let mut net = Net::new(&small_site(), 7);
     net.recover(100);
@@ -192,9 +192,9 @@
     net.recover(60);
     let leader = net.leader().unwrap();
     net.hosts.get_mut(&leader).unwrap().suspended = true;
-    let asker: VmName = if *leader == *"vm-4" { "vm-5".into() } else { "vm-4".into() };
+    let vm: VmName = if *leader == *"vm-4" { "vm-5".into() } else { "vm-4".into() };
 
-    net.ask(&asker, NodeCall::Place(request()));
+    net.ask(&vm, NodeCall::Place(request()));
     net.run(100);
 
     expect_that!(net.observed.placed.len(), eq(1));
@@ -210,7 +210,7 @@
         net.run_with_faults(400);
         net.recover(400);
         let last = net.observed.accepted;
-        prop_assert!(0 < last, "nothing was accepted");
+        prop_assert!(0 < last, "no version was accepted");
         let versions: BTreeSet<u64> = net.vms().iter().map(|vm| net.version_at(vm)).collect();
         prop_assert_eq!(versions.len(), 1, "daemons differ");
         prop_assert!(versions.iter().all(|version| last <= *version));
--- a/crates/core/src/node/tests/quarantine.rs
+++ b/crates/core/src/node/tests/quarantine.rs
@@ -1,7 +1,5 @@
-//! Requests under which endpoints end, in whole nodes: known everywhere a moment after, and kept through
-//! the loss of the leader and of all VMs.
-//!
-//! The story of the failure that this guards against is in `relay::tests::crashing` of the server.
+//! Quarantine of crashing requests in whole nodes: crash records reach every daemon and survive the
+//! loss of the leader and of all VMs.
 
 use std::time::Duration;
 
@@ -19,12 +17,12 @@
     wire::EndpointRecord,
 };
 
-/// The request that the tests are about.
+/// The request that crashes endpoints.
 pub(super) fn crashing_request() -> RequestDigest {
     RequestDigest::from_slice(&[7; 16]).unwrap()
 }
 
-/// A site whose daemons have a configuration.
+/// A net whose daemons have an active configuration.
 pub(super) fn configured_net(site: &Site, seed: u64) -> Net {
     let mut net = Net::new(site, seed);
     net.recover(100);
@@ -33,24 +31,24 @@
     net
 }
 
-/// An endpoint of this name ends under the deadly request at a VM.
+/// Reports at a VM that an endpoint crashed while it ran the request.
 pub(super) fn crash_endpoint(net: &mut Net, vm: &VmName, endpoint: &str, trial: Option<CallId>) {
-    let broke_off = FailedAttempt {
+    let attempt = FailedAttempt {
         request: crashing_request(),
         endpoint: endpoint.into(),
         started_at: Some(0),
         probe: ProbeOutcome::ConnectionRefused,
         trial,
     };
-    net.handle(vm, Input::FailedAttempt(broke_off));
+    net.handle(vm, Input::FailedAttempt(attempt));
 }
 
-/// Asks for a trial at a VM.
+/// Requests a trial at a VM.
 pub(super) fn request_trial(net: &mut Net, vm: &VmName) -> CallId {
     net.ask(vm, NodeCall::Trial { request: crashing_request(), limit: Duration::from_secs(2) })
 }
 
-/// The deadly request in quarantine, by one suspicion and two trials.
+/// Brings the request into quarantine with one crash and two crashed trials.
 fn quarantine_request(net: &mut Net) {
     let entry = net.entry();
     crash_endpoint(net, &entry, "e0", None);
@@ -64,7 +62,7 @@
     }
 }
 
-fn is_quarantined_at(net: &Net, vm: &VmName) -> bool {
+fn is_quarantined_on(net: &Net, vm: &VmName) -> bool {
     net.standing(vm, &crashing_request()).is_some_and(CrashCounts::is_quarantined)
 }
 
@@ -107,7 +105,7 @@
     net.recover(300);
 
     for vm in &net.vms() {
-        expect_that!(is_quarantined_at(&net, vm), eq(true), "{vm}");
+        expect_that!(is_quarantined_on(&net, vm), eq(true), "{vm}");
     }
 }
 
@@ -135,8 +133,8 @@
     net.recover(100);
 
     expect_that!(at_once, some(eq(CrashCounts { total: 1, in_trials: 0 })));
-    let elsewhere = net.standing(&"vm-5".into(), &crashing_request());
-    expect_that!(elsewhere, some(eq(CrashCounts { total: 1, in_trials: 0 })));
+    let on_other_daemon = net.standing(&"vm-5".into(), &crashing_request());
+    expect_that!(on_other_daemon, some(eq(CrashCounts { total: 1, in_trials: 0 })));
 }
 
 #[gtest]
@@ -193,7 +191,7 @@
     net.run(10);
 
     expect_that!(net.observed.cleared, eq(&vec![Some(true), Some(false)]));
-    expect_that!(is_quarantined_at(&net, &"vm-4".into()), eq(false));
+    expect_that!(is_quarantined_on(&net, &"vm-4".into()), eq(false));
 }
 
 fn heartbeat(net: &mut Net, id: &str, sequence: u64, leaving: bool) {
@@ -213,14 +211,14 @@
 
 fn fail_attempt(net: &mut Net, probe: ProbeOutcome) {
     let endpoint = "i-1".into();
-    let broke_off = FailedAttempt {
+    let attempt = FailedAttempt {
         request: crashing_request(),
         endpoint,
         started_at: Some(0),
         probe,
         trial: None,
     };
-    net.handle(&"vm-4".into(), Input::FailedAttempt(broke_off));
+    net.handle(&"vm-4".into(), Input::FailedAttempt(attempt));
 }
 
 #[gtest]
@@ -274,19 +272,18 @@
 proptest! {
     #![proptest_config(fixed_seed(40))]
 
-    /// Through any mishaps, what was in quarantine is so on every daemon in the calm after, and no try is
-    /// let run.
+    /// After any faults, every daemon has the request in quarantine and no trial is granted.
     #[test]
     fn quarantine_survives_faults(seed in any::<u64>()) {
         let mut net = configured_net(&small_site(), seed);
         quarantine_request(&mut net);
-        prop_assert!(is_quarantined_at(&net, &"vm-4".into()));
+        prop_assert!(is_quarantined_on(&net, &"vm-4".into()));
 
         net.run_with_faults(300);
         net.recover(400);
 
         for vm in &net.vms() {
-            prop_assert!(is_quarantined_at(&net, vm), "{} does not know", vm);
+            prop_assert!(is_quarantined_on(&net, vm), "{} does not know", vm);
         }
         let vm = net.random_vm();
         let call = request_trial(&mut net, &vm);
--- a/crates/core/src/node/tests/rate_limits.rs
+++ b/crates/core/src/node/tests/rate_limits.rs
@@ -1,7 +1,5 @@
-//! Endpoints that name limits, in whole nodes: every daemon knows a moment after, and all of them together
-//! keep to what an endpoint takes, also while leaders, control VMs and daemons are lost and come back.
-//!
-//! The story of the failure that this guards against is in `relay::tests::limits` of the server.
+//! Rate limits of endpoints in whole nodes: limits spread to all daemons, which together keep to them, also
+//! while leaders, control VMs and entries fail and recover.
 
 use std::time::Duration;
 
@@ -17,36 +15,37 @@
     units::Instant,
 };
 
-/// An endpoint that the configuration lists.
+/// The endpoint in the configuration.
 const ENDPOINT: &str = "e0";
-/// Requests a second that it takes.
+/// Its rate limit, in requests per second.
 const LIMIT: f64 = 3.0;
-/// Steps of 20 ms in 4 s, for which the bound on what it gets is stated: half more than it takes, and 5.
-const STEPS: usize = 200;
-const ALLOWED: usize = (LIMIT * 4.0 * 1.5) as usize + 5;
-/// What a daemon that has read the limit less than half a second before sends does not count.
-const STEPS_TO_OBEY: usize = 25;
-/// Steps that an endpoint takes to answer.
-const STEPS_TO_ANSWER: usize = 3;
-
-/// A request that the endpoint answers at a step.
-struct Run {
+/// Window of 4 s, in steps of 20 ms.
+const WINDOW_STEPS: usize = 200;
+/// Bound on the requests in a window: 1.5 times the limit, plus 5.
+const MAX_IN_WINDOW: usize = (LIMIT * 4.0 * 1.5) as usize + 5;
+/// Steps from receipt of the limit after which a daemon's requests count.
+const STEPS_TO_APPLY: usize = 25;
+/// Steps from a request to its response.
+const STEPS_TO_RESPOND: usize = 3;
+
+/// A request that the endpoint has not responded to.
+struct InFlight {
     vm: VmName,
-    asked: Instant,
-    answered_at: usize,
+    sent_at: Instant,
+    responds_at: usize,
 }
 
-/// Callers that ask for the endpoint through every entry without rest, and what the endpoint has got.
+/// Callers that keep sending requests through every entry, and the requests that reached the endpoint.
 struct Callers {
     entries: Vec<VmName>,
     limit: Option<f64>,
-    asked: Vec<(VmName, CallId)>,
-    runs: Vec<Run>,
-    /// When each daemon has first read the limit in its present life.
-    told: std::collections::BTreeMap<VmName, usize>,
-    /// Steps of all requests, and of those from daemons that had read the limit in time.
-    got: Vec<usize>,
-    got_from_told: Vec<usize>,
+    pending_permits: Vec<(VmName, CallId)>,
+    in_flight: Vec<InFlight>,
+    /// Step at which each daemon has received the limit since its start.
+    informed_at: std::collections::BTreeMap<VmName, usize>,
+    /// Steps of all requests, and of those from daemons that had received the limit in time.
+    received: Vec<usize>,
+    received_from_informed: Vec<usize>,
     step: usize,
 }
 
@@ -56,64 +55,64 @@
         Callers {
             entries: net.vms().into_iter().filter(|vm| !replicas.contains(vm)).collect(),
             limit: Some(LIMIT),
-            asked: Vec::new(),
-            runs: Vec::new(),
-            told: Default::default(),
-            got: Vec::new(),
-            got_from_told: Vec::new(),
+            pending_permits: Vec::new(),
+            in_flight: Vec::new(),
+            informed_at: Default::default(),
+            received: Vec::new(),
+            received_from_informed: Vec::new(),
             step: 0,
         }
     }
 
-    /// The endpoint gets a request.
+    /// Sends a request to the endpoint.
     fn send(&mut self, net: &Net, vm: &VmName) {
-        self.got.push(self.step);
-        if self.told.get(vm).is_some_and(|told| told + STEPS_TO_OBEY <= self.step) {
-            self.got_from_told.push(self.step);
+        self.received.push(self.step);
+        if self.informed_at.get(vm).is_some_and(|informed| informed + STEPS_TO_APPLY <= self.step) {
+            self.received_from_informed.push(self.step);
         }
-        let answered_at = self.step + STEPS_TO_ANSWER;
-        self.runs.push(Run { vm: vm.clone(), asked: net.time(), answered_at });
+        let responds_at = self.step + STEPS_TO_RESPOND;
+        self.in_flight.push(InFlight { vm: vm.clone(), sent_at: net.time(), responds_at });
     }
 
-    /// A caller comes to a daemon, which does with its request what the server does.
+    /// Sends a request to a daemon, which handles it as the relay does.
     fn send_request(&mut self, net: &mut Net, vm: &VmName, max_wait: Duration) {
         if !net.is_serving(vm) || net.hosts[vm].suspended {
             return;
         }
-        if limit_at(net, vm).is_none() {
+        if known_limit(net, vm).is_none() {
             return self.send(net, vm);
         }
         let endpoints = vec![ENDPOINT.into()];
         let ask = PermitRequest { requester: CallId(0), service: "s".into(), endpoints, max_wait };
         let call = net.ask(vm, NodeCall::Permit(ask));
-        self.asked.push((vm.clone(), call));
+        self.pending_permits.push((vm.clone(), call));
     }
 
-    /// Lets a step pass: requests that have a permit are sent, and answers are read.
+    /// Runs a step: sends the requests that have a permit and delivers responses.
     fn step(&mut self, net: &mut Net) {
         net.step(false);
         self.step += 1;
-        for (vm, call) in std::mem::take(&mut self.asked) {
+        for (vm, call) in std::mem::take(&mut self.pending_permits) {
             match net.observed.permits.get(&call) {
-                None => self.asked.push((vm, call)),
+                None => self.pending_permits.push((vm, call)),
                 Some(Permit::Granted(_)) => self.send(net, &vm),
                 Some(Permit::Denied { .. }) => {}
             }
         }
-        let due = |run: &Run| run.answered_at <= self.step;
-        let (answered, runs) = std::mem::take(&mut self.runs).into_iter().partition(due);
-        self.runs = runs;
-        for Run { vm, asked, .. } in answered {
-            let answered: bool = net.hosts[&vm].node.is_some();
-            if answered && self.limit.is_some() {
-                self.told.entry(vm.clone()).or_insert(self.step);
+        let due = |req: &InFlight| req.responds_at <= self.step;
+        let (answered, in_flight) = std::mem::take(&mut self.in_flight).into_iter().partition(due);
+        self.in_flight = in_flight;
+        for InFlight { vm, sent_at, .. } in answered {
+            let is_running: bool = net.hosts[&vm].node.is_some();
+            if is_running && self.limit.is_some() {
+                self.informed_at.entry(vm.clone()).or_insert(self.step);
             }
-            read(net, &vm, asked, self.limit);
+            receive_limit(net, &vm, sent_at, self.limit);
         }
     }
 
-    /// Lets callers come to every entry, some of them ready to wait, for so many steps.
-    fn play(&mut self, net: &mut Net, steps: usize) {
+    /// Sends requests through every entry for this number of steps; some of them may wait.
+    fn run(&mut self, net: &mut Net, steps: usize) {
         for _ in 0..steps {
             self.step(net);
             for n in 0..self.entries.len() {
@@ -128,79 +127,82 @@
     }
 }
 
-/// A daemon reads an answer of the endpoint.
-fn read(net: &mut Net, vm: &VmName, asked: Instant, limit: Option<f64>) {
+/// Delivers a response with this limit to a daemon.
+fn receive_limit(net: &mut Net, vm: &VmName, sent_at: Instant, limit: Option<f64>) {
     let limit = limit.map(|per_second| RateLimit::new(per_second).unwrap());
-    let word = RateLimitReport {
+    let report = RateLimitReport {
         endpoint: ENDPOINT.into(),
         started_at: 0,
         limit,
-        sent_at: asked,
+        sent_at,
         received_at: net.time(),
     };
-    net.handle(vm, Input::RateLimitReported(word));
+    net.handle(vm, Input::RateLimitReported(report));
 }
 
-/// The limit that a daemon knows of.
-fn limit_at(net: &Net, vm: &VmName) -> Option<f64> {
+/// The limit that a daemon knows.
+fn known_limit(net: &Net, vm: &VmName) -> Option<f64> {
     let limit = net.hosts[vm].node.as_ref().and_then(|node: &Node| node.rate_limit(ENDPOINT));
     limit.map(RateLimit::per_second)
 }
 
-/// Most of these that are in any so many steps.
-fn most_within(steps: usize, times: &[usize]) -> usize {
+/// Largest number of requests in any window of this many steps.
+fn max_within(steps: usize, times: &[usize]) -> usize {
     let within = |first: usize| times.iter().filter(move |at| (first..first + steps).contains(at));
     times.iter().map(|first| within(*first).count()).max().unwrap_or(0)
 }
 
-/// Callers that come for 24 s, with a mishap at a step.
-fn play(seed: u64, fault_at: usize, fault: impl Fn(&mut Net)) -> Callers {
+/// Runs callers for 24 s, with a fault at a step.
+fn run_callers(seed: u64, fault_at: usize, fault: impl Fn(&mut Net)) -> Callers {
     let mut net = configured_net(&Site::new(3, 3), seed);
     let mut callers = Callers::new(&net);
-    callers.play(&mut net, fault_at);
+    callers.run(&mut net, fault_at);
     fault(&mut net);
-    callers.play(&mut net, 1_200 - fault_at);
+    callers.run(&mut net, 1_200 - fault_at);
     callers
 }
 
 #[gtest]
 fn daemons_together_use_the_rate_limit() {
-    let callers = play(21, 0, |_| {});
-
-    // Two at once, and what it takes; of that nearly all is used.
-    expect_that!(most_within(STEPS, &callers.got_from_told), le(LIMIT as usize * 4 + 2));
-    expect_that!(callers.got_from_told.len(), ge(LIMIT as usize * 20));
+    let callers = run_callers(21, 0, |_| {});
+
+    // The limit plus a burst of two is not exceeded, and nearly all of it is used.
+    expect_that!(
+        max_within(WINDOW_STEPS, &callers.received_from_informed),
+        le(LIMIT as usize * 4 + 2)
+    );
+    expect_that!(callers.received_from_informed.len(), ge(LIMIT as usize * 20));
 }
 
 #[gtest]
 fn rate_limit_spreads_to_all_daemons() {
     let mut net = configured_net(&Site::new(3, 3), 22);
-    let asked = net.time();
+    let sent_at = net.time();
 
     net.run(1);
-    read(&mut net, &"vm-4".into(), asked, Some(LIMIT));
+    receive_limit(&mut net, &"vm-4".into(), sent_at, Some(LIMIT));
     net.run(15);
 
     for vm in net.vms() {
-        expect_that!(limit_at(&net, &vm), some(near(LIMIT, 1e-6)), "{vm}");
+        expect_that!(known_limit(&net, &vm), some(near(LIMIT, 1e-6)), "{vm}");
     }
 }
 
 #[gtest]
 fn removed_rate_limit_spreads_to_all_daemons() {
     let mut net = configured_net(&Site::new(3, 3), 23);
-    let asked = net.time();
+    let sent_at = net.time();
     net.run(1);
-    read(&mut net, &"vm-4".into(), asked, Some(LIMIT));
+    receive_limit(&mut net, &"vm-4".into(), sent_at, Some(LIMIT));
     net.run(15);
-    let asked = net.time();
+    let sent_at = net.time();
 
     net.run(1);
-    read(&mut net, &"vm-5".into(), asked, None);
+    receive_limit(&mut net, &"vm-5".into(), sent_at, None);
     net.run(15);
 
     for vm in net.vms() {
-        expect_that!(limit_at(&net, &vm), none(), "{vm}");
+        expect_that!(known_limit(&net, &vm), none(), "{vm}");
     }
 }
 
@@ -210,11 +212,11 @@
     let mut callers = Callers::new(&net);
     let mut sent = |limit: Option<f64>, steps| {
         callers.limit = limit;
-        // Time in which daemons learn of it.
-        callers.play(&mut net, STEPS);
-        let before = callers.got.len();
-        callers.play(&mut net, steps);
-        callers.got.len() - before
+        // Waits until the limit has spread.
+        callers.run(&mut net, WINDOW_STEPS);
+        let before = callers.received.len();
+        callers.run(&mut net, steps);
+        callers.received.len() - before
     };
 
     let (high, low, again, lifted) =
@@ -229,13 +231,13 @@
 #[gtest]
 fn leader_crash_keeps_the_rate_limit() {
     for fault_at in (300..420).step_by(3) {
-        let callers = play(25, fault_at, |net| {
+        let callers = run_callers(25, fault_at, |net| {
             let leader = net.leader().unwrap();
             net.crash(&leader);
         });
 
-        let most = most_within(STEPS, &callers.got_from_told);
-        expect_that!(most, le(ALLOWED), "lost at step {fault_at}");
+        let max = max_within(WINDOW_STEPS, &callers.received_from_informed);
+        expect_that!(max, le(MAX_IN_WINDOW), "fault at step {fault_at}");
     }
 }
 
@@ -244,33 +246,33 @@
     for fault_at in (300..420).step_by(9) {
         let mut net = configured_net(&Site::new(3, 3), 26);
         let mut callers = Callers::new(&net);
-        callers.play(&mut net, fault_at);
+        callers.run(&mut net, fault_at);
         let replicas = net.replicas();
         replicas.iter().for_each(|vm| net.crash(vm));
-        callers.play(&mut net, 150);
+        callers.run(&mut net, 150);
         replicas.iter().for_each(|vm| net.start(vm));
-        callers.play(&mut net, 600);
+        callers.run(&mut net, 600);
 
-        let most = most_within(STEPS, &callers.got_from_told);
-        expect_that!(most, le(ALLOWED), "not reached from step {fault_at}");
+        let max = max_within(WINDOW_STEPS, &callers.received_from_informed);
+        expect_that!(max, le(MAX_IN_WINDOW), "outage from step {fault_at}");
     }
 }
 
 #[gtest]
 fn suspended_vm_keeps_the_rate_limit() {
     for fault_at in (300..420).step_by(9) {
-        for leads in [false, true] {
+        for is_leader in [false, true] {
             let mut net = configured_net(&Site::new(3, 3), 27);
             let mut callers = Callers::new(&net);
-            callers.play(&mut net, fault_at);
-            let vm = if leads { net.leader().unwrap() } else { "vm-5".into() };
+            callers.run(&mut net, fault_at);
+            let vm = if is_leader { net.leader().unwrap() } else { "vm-5".into() };
             net.hosts.get_mut(&vm).unwrap().suspended = true;
-            callers.play(&mut net, 300);
+            callers.run(&mut net, 300);
             net.hosts.get_mut(&vm).unwrap().suspended = false;
-            callers.play(&mut net, 600);
+            callers.run(&mut net, 600);
 
-            let most = most_within(STEPS, &callers.got_from_told);
-            expect_that!(most, le(ALLOWED), "leads {leads}, at step {fault_at}");
+            let max = max_within(WINDOW_STEPS, &callers.received_from_informed);
+            expect_that!(max, le(MAX_IN_WINDOW), "leader {is_leader}, at step {fault_at}");
         }
     }
 }
@@ -279,14 +281,14 @@
 fn restarted_entry_learns_the_rate_limit() {
     let mut net = configured_net(&Site::new(3, 3), 28);
     let mut callers = Callers::new(&net);
-    callers.play(&mut net, 400);
-    let before = callers.got.len();
+    callers.run(&mut net, 400);
+    let before = callers.received.len();
     net.crash(&"vm-5".into());
-    callers.told.remove("vm-5");
+    callers.informed_at.remove("vm-5");
     net.start(&"vm-5".into());
-    callers.play(&mut net, STEPS);
+    callers.run(&mut net, WINDOW_STEPS);
 
-    // What came before it was told, and what the endpoint takes.
-    let sent = callers.got.len() - before;
+    // The limit plus what is sent before the entry knows it.
+    let sent = callers.received.len() - before;
     expect_that!(sent, le(LIMIT as usize * 4 + 5));
 }
--- a/crates/core/src/node/tests/recovery.rs
+++ b/crates/core/src/node/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! A fleet of hundreds of VMs after all of its entries have failed.
+//! Recovery of a large fleet after all of its entries have restarted at the same time.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use super::{fleet::Fleet, net::Site};
 use crate::wire::EndpointRecord;
 
-/// VMs and endpoints of the largest sweep that the users play.
+/// VMs and endpoints of a large deployment.
 const CONTROL: usize = 5;
 const ENTRIES: usize = 295;
 const ENDPOINTS: usize = 3_000;
-/// Time until a fleet has elected a leader and all daemons know it.
+/// Time until a leader is elected and known to all daemons.
 const STARTUP: Duration = Duration::from_secs(5);
 
 fn record(n: usize) -> EndpointRecord {
@@ -26,7 +26,7 @@
     }
 }
 
-/// A fleet that knows its endpoints and has a configuration in force.
+/// A fleet with known endpoints and an active configuration.
 fn fleet_with_endpoints(site: &Site) -> Fleet {
     let mut fleet = Fleet::new(site);
     let records: Vec<EndpointRecord> = (0..ENDPOINTS).map(record).collect();
--- a/crates/core/src/node/tests/slot_leaks.rs
+++ b/crates/core/src/node/tests/slot_leaks.rs
@@ -1,5 +1,5 @@
-//! Whatever the order in which requests come, run, move and are given up by callers who leave,
-//! also through changes of the leader: in the end no place is held for any of them.
+//! Random sequences of arrivals, progress, relocations, cancellations and leader changes: once all requests
+//! have ended, no scheduler holds a slot for any of them.
 
 use std::time::Duration;
 
@@ -14,21 +14,21 @@
     wire::HealthNews,
 };
 
-/// A request of an entry, as far as it is known to its caller.
+/// A request and the entry that it was sent to.
 #[derive(Debug, Clone)]
 struct Request {
     entry: VmName,
     call: CallId,
 }
 
-/// What happens next, with numbers that choose which request, VM or endpoint it happens to.
+/// A random event; its number selects the request or entry.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    Comes(u8),
-    Leaves(u8),
+    Arrives(u8),
+    IsCancelled(u8),
     Progresses(u8, u8),
-    Ends(u8),
-    Moved(u8, bool),
+    Finishes(u8),
+    IsRelocated(u8, bool),
     EndpointFails(u8),
     EndpointRejects(u8, u16),
     LeaderStops,
@@ -37,11 +37,11 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        6 => any::<u8>().prop_map(Step::Comes),
-        3 => any::<u8>().prop_map(Step::Leaves),
+        6 => any::<u8>().prop_map(Step::Arrives),
+        3 => any::<u8>().prop_map(Step::IsCancelled),
         2 => (any::<u8>(), any::<u8>()).prop_map(|(at, tokens)| Step::Progresses(at, tokens)),
-        2 => any::<u8>().prop_map(Step::Ends),
-        1 => (any::<u8>(), any::<bool>()).prop_map(|(at, done)| Step::Moved(at, done)),
+        2 => any::<u8>().prop_map(Step::Finishes),
+        1 => (any::<u8>(), any::<bool>()).prop_map(|(at, done)| Step::IsRelocated(at, done)),
         1 => any::<u8>().prop_map(Step::EndpointFails),
         2 => (any::<u8>(), 0u16..3_000).prop_map(|(at, ms)| Step::EndpointRejects(at, ms)),
         1 => Just(Step::LeaderStops),
@@ -50,14 +50,14 @@
     proptest::collection::vec(step, 1..60)
 }
 
-/// A net with requests that come and go.
+/// A net and the requests that were sent to it.
 struct Traffic {
     net: Net,
     requests: Vec<Request>,
 }
 
 impl Traffic {
-    fn begin(seed: u64) -> Traffic {
+    fn new(seed: u64) -> Traffic {
         let mut net = Net::new(&Site::new(3, 2), seed);
         net.recover(60);
         net.submit(&"vm-4".into(), 1, "a");
@@ -70,7 +70,7 @@
         self.requests.get(at).cloned()
     }
 
-    fn tell(&mut self, at: u8, input: impl FnOnce(CallId) -> Input) {
+    fn send_input(&mut self, at: u8, input: impl FnOnce(CallId) -> Input) {
         if let Some(Request { entry, call }) = self.pick(at) {
             self.net.handle(&entry, input(call));
         }
@@ -78,18 +78,18 @@
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Comes(at) => {
+            Step::Arrives(at) => {
                 let entry: VmName = if at % 2 == 0 { "vm-4" } else { "vm-5" }.into();
                 let call = self.net.ask(&entry, NodeCall::Place(request()));
                 self.requests.push(Request { entry, call });
             }
-            Step::Leaves(at) => self.tell(at, Input::Cancelled),
+            Step::IsCancelled(at) => self.send_input(at, Input::Cancelled),
             Step::Progresses(at, tokens) => {
-                self.tell(at, |call| Input::Progress(call, u64::from(tokens)));
+                self.send_input(at, |call| Input::Progress(call, u64::from(tokens)));
             }
-            Step::Ends(at) => self.end(at),
-            Step::Moved(at, done) => {
-                self.tell(at, |call| Input::Moved { call, at: "e0".into(), done });
+            Step::Finishes(at) => self.end(at),
+            Step::IsRelocated(at, done) => {
+                self.send_input(at, |call| Input::Moved { call, at: "e0".into(), done });
             }
             Step::EndpointFails(at) => {
                 let entry: VmName = if at % 2 == 0 { "vm-4" } else { "vm-5" }.into();
@@ -111,12 +111,11 @@
     }
 
     fn end(&mut self, at: u8) {
-        self.tell(at, |call| Input::Finished { call, tokens: 5, complete: true });
+        self.send_input(at, |call| Input::Finished { call, tokens: 5, complete: true });
     }
 
-    /// Every caller that is still there leaves: a request that runs ends, one that waits is
-    /// cancelled, and what has ended hears of it once more.
-    fn all_leave(&mut self) {
+    /// Cancels and finishes every request, whatever its state.
+    fn end_all(&mut self) {
         for Request { entry, call } in std::mem::take(&mut self.requests) {
             let finished = Input::Finished { call, tokens: 5, complete: false };
             for input in [Input::Cancelled(call), finished] {
@@ -126,7 +125,7 @@
         self.net.recover(200);
     }
 
-    /// The schedulers that decide now: the leader's, and each entry's own.
+    /// The scheduler of the leader and the local schedulers of all daemons.
     fn schedulers(&self) -> Vec<&Scheduler> {
         let nodes = || self.net.hosts.values().filter_map(|host| host.node.as_ref());
         let control = nodes().filter_map(|node| node.control.as_ref());
@@ -140,11 +139,11 @@
 
     #[test]
     fn ended_requests_hold_no_slots(seed in any::<u64>(), steps in steps()) {
-        let mut traffic = Traffic::begin(seed);
+        let mut traffic = Traffic::new(seed);
         for step in steps {
             traffic.step(step);
         }
-        traffic.all_leave();
+        traffic.end_all();
         for scheduler in traffic.schedulers() {
             prop_assert_eq!(scheduler.waiting(), 0);
             prop_assert_eq!(scheduler.running(), 0);
@@ -158,10 +157,10 @@
 
 #[gtest]
 fn generated_requests_are_placed() {
-    let mut traffic = Traffic::begin(1);
+    let mut traffic = Traffic::new(1);
 
     for at in 0..3 {
-        traffic.step(Step::Comes(at));
+        traffic.step(Step::Arrives(at));
     }
     traffic.step(Step::TimePasses(5));
 
