--- a/crates/core/src/node/config_fetch.rs
+++ b/crates/core/src/node/config_fetch.rs
@@ -13,8 +13,7 @@
     wire::{Body, Fetch, Piece},
 };
 
-/// Pieces that are asked for ahead. Two keep a link of 10 Mbit/s busy over a round trip of 3 ms; a
-/// third covers a thread that is busy otherwise. What is under way keeps such a link busy for 40 ms.
+/// Window of requested pieces: two cover a round trip on the slowest links, the third a busy thread.
 pub(super) const PREFETCH_PIECES: u64 = 3;
 /// Timeout for the first piece, after which another control VM is tried: one that is partitioned from
 /// the leader has nothing to send. Grows with each source tried, in case all are slow.
--- a/crates/core/src/node/control/answers.rs
+++ b/crates/core/src/node/control/answers.rs
@@ -38,6 +38,7 @@
         self.process_ready(clocks, out);
     }
 
+    /// Answers a poll that a quorum has confirmed.
     pub(super) fn answer_poll(&mut self, read: ConfirmedRead, now: Instant, out: &mut Outbox) {
         let Some((vm, poll)) = self.pending_polls.remove(&read.token) else { return };
         let entries = self.count_entry_daemons(now);
@@ -79,6 +80,7 @@
         }
     }
 
+    /// Proposes the command for an operation.
     pub(super) fn on_operation(
         &mut self,
         from: &VmName,
@@ -170,6 +172,7 @@
         }
     }
 
+    /// Proposes a command; its result is sent once the entry is applied.
     fn propose(
         &mut self,
         reply_to: ReplyTo,
@@ -188,6 +191,7 @@
         }
     }
 
+    /// Tells a daemon that this replica does not lead, and which VM does, if known.
     pub(super) fn reply_not_leader(&self, to: &VmName, operation: Option<u64>, out: &mut Outbox) {
         let leader = self.replica.leader().filter(|id| *id != self.replica.id());
         let leader = leader.and_then(|id| self.vm_of(id)).map(|vm| vm.to_string());
--- a/crates/core/src/node/control/suspects.rs
+++ b/crates/core/src/node/control/suspects.rs
@@ -98,6 +98,7 @@
         }
     }
 
+    /// Queues a trial, or records one that started under a previous leader.
     pub(super) fn on_trial_ask(
         &mut self,
         from: &VmName,
@@ -109,15 +110,15 @@
             return self.reply_not_leader(from, None, out);
         }
         let Some(request) = RequestDigest::from_slice(&ask.request) else { return };
-        let asker = AttemptId { vm: from.clone(), number: ask.number };
+        let attempt = AttemptId { vm: from.clone(), number: ask.number };
         if ask.runs {
-            return self.suspect_coordinator.trials.adopt(request, asker);
+            return self.suspect_coordinator.trials.adopt(request, attempt);
         }
-        let standing = CrashCounts { total: ask.ended, in_trials: 0 };
-        if let Some(refused) =
-            self.suspect_coordinator.trials.request(request, asker.clone(), standing)
+        let crash_counts = CrashCounts { total: ask.ended, in_trials: 0 };
+        if let Some(decision) =
+            self.suspect_coordinator.trials.request(request, attempt.clone(), crash_counts)
         {
-            return send_permission(asker, refused, out);
+            return send_decision(attempt, decision, out);
         }
         self.decide_trials(now, out);
     }
@@ -135,6 +136,7 @@
         self.decide_trials(now, out);
     }
 
+    /// Releases the trials of a daemon whose link is down.
     pub(super) fn release_trials(&mut self, vm: &VmName, now: Instant, out: &mut Outbox) {
         self.suspect_coordinator.trials.remove_daemon(vm);
         self.decide_trials(now, out);
@@ -144,24 +146,24 @@
         if !self.leads() {
             return;
         }
-        for (asker, permission) in
+        for (attempt, decision) in
             self.suspect_coordinator.trials.decide(self.state.suspects(), now)
         {
-            send_permission(asker, permission, out);
+            send_decision(attempt, decision, out);
         }
         self.suspect_coordinator.next_decision = self.suspect_coordinator.trials.next_decision(now);
     }
 }
 
-fn send_permission(asker: AttemptId, permission: TrialDecision, out: &mut Outbox) {
-    let (status, apart) = match permission {
-        TrialDecision::Granted { isolated: apart } => (TrialStatus::Granted, apart),
+fn send_decision(attempt: AttemptId, decision: TrialDecision, out: &mut Outbox) {
+    let (status, isolated) = match decision {
+        TrialDecision::Granted { isolated } => (TrialStatus::Granted, isolated),
         TrialDecision::Quarantined => (TrialStatus::Quarantined, false),
         TrialDecision::Cleared => (TrialStatus::Clear, false),
         TrialDecision::Busy => (TrialStatus::Busy, false),
     };
-    let reply = TrialReply { number: asker.number, status: status.into(), apart };
-    out.send(&asker.vm, Body::TrialReply(reply));
+    let reply = TrialReply { number: attempt.number, status: status.into(), apart: isolated };
+    out.send(&attempt.vm, Body::TrialReply(reply));
 }
 
 pub(super) fn encode_suspects_reply(change: &SuspectUpdate) -> SuspectsReply {
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -147,7 +147,7 @@
 /// An event for the node to handle.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// The time of [`Node::next_tick`](super::Node::next_tick) has come.
+    /// Time has passed; due at [`Node::next_tick`](super::Node::next_tick).
     Tick,
     /// A link to another daemon is up.
     LinkUp(VmName),
