--- a/crates/core/src/node/directory.rs
+++ b/crates/core/src/node/directory.rs
@@ -119,9 +119,9 @@
 
     fn compute_known(&self, now: Instant) -> Vec<VmName> {
         let fresh = self.last_named.iter().filter(|(_, at)| now.since(**at) < EXPIRE_AFTER);
-        let own = self.is_control.then_some(&self.vm);
+        let this_vm = self.is_control.then_some(&self.vm);
         let all: BTreeSet<&VmName> =
-            fresh.map(|(vm, _)| vm).chain(&self.seeds).chain(own).collect();
+            fresh.map(|(vm, _)| vm).chain(&self.seeds).chain(this_vm).collect();
         all.into_iter().cloned().collect()
     }
 }
--- a/crates/core/src/node/endpoints.rs
+++ b/crates/core/src/node/endpoints.rs
@@ -123,10 +123,10 @@
         request: EndpointsWanted,
         now: Instant,
     ) {
-        let age_ms = |heard: Instant| now.since(heard).as_millis() as u64;
+        let age_ms = |received: Instant| now.since(received).as_millis() as u64;
         let records = self.registry.bucket(request.part as usize).iter();
         let (records, ages_ms) =
-            records.map(|(record, heard)| (record.clone(), age_ms(*heard))).unzip();
+            records.map(|(record, received)| (record.clone(), age_ms(*received))).unzip();
         let news = EndpointNews { records, ages_ms, part: Some(request.part) };
         self.outputs.send(to, Body::EndpointNews(news));
     }
--- a/crates/core/src/node/failed_attempt.rs
+++ b/crates/core/src/node/failed_attempt.rs
@@ -31,12 +31,13 @@
     pub started_at: Option<u64>,
     /// Result of the probe after the failure.
     pub probe: ProbeOutcome,
-    /// The trial that it was, if it was one.
+    /// The quarantine trial that this attempt was, if any.
     pub trial: Option<CallId>,
 }
 
 impl FailedAttempt {
-    /// What the registry knows of the endpoint's run; nothing where the configuration lists it.
+    /// State of the endpoint's process according to the registry; `None` if the configuration lists
+    /// the endpoint.
     pub(super) fn run_state(&self, registry: &Registry) -> Option<RunState> {
         Some(registry.run_state(&self.endpoint, self.started_at?))
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -200,9 +200,9 @@
         self.client.is_fresh()
     }
 
-    /// Crash record of a request.
-    pub fn standing(&self, request: &RequestDigest) -> CrashCounts {
-        self.suspects.standing(request)
+    /// Crashes counted against a request.
+    pub fn crash_counts(&self, request: &RequestDigest) -> CrashCounts {
+        self.suspects.crash_counts(request)
     }
 
     /// Whether any request has a crash record.
--- a/crates/core/src/node/placement_client/mod.rs
+++ b/crates/core/src/node/placement_client/mod.rs
@@ -258,16 +258,16 @@
         &mut self,
         call: CallId,
         tokens: u64,
-        whole: bool,
+        complete: bool,
         now: Instant,
         out: &mut Outbox,
     ) {
         self.running.remove(&call);
         self.unreported.remove(&call);
-        self.local.finish(ticket(call), tokens, whole, now);
+        self.local.finish(ticket(call), tokens, complete, now);
         if let Some(scheduler) = &self.scheduler {
             let tokens = Tokens { number: call.0, tokens };
-            let progress = if whole {
+            let progress = if complete {
                 Progress { finished: vec![tokens], ..Progress::default() }
             } else {
                 Progress { ended: vec![tokens], ..Progress::default() }
--- a/crates/core/src/node/suspect_tracker.rs
+++ b/crates/core/src/node/suspect_tracker.rs
@@ -27,8 +27,9 @@
 
 /// Time for which an unrecorded crash is reported to leaders.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(120);
-/// Heartbeat intervals after which an endpoint that still counts as running is taken not to have
-/// crashed. Its heartbeats count as stopped after four are missing, and that news takes up to one more.
+/// Heartbeat intervals after which an endpoint that still counts as running is assumed not to have
+/// crashed. Its heartbeats count as stopped after four are missing, and the news takes up to one more
+/// interval.
 const AMBIGUOUS_TIMEOUT_HEARTBEATS: u32 = 6;
 /// Maximum number of unresolved failures; the oldest is dropped beyond that.
 const MAX_AMBIGUOUS: usize = 1_024;
@@ -78,7 +79,7 @@
 #[derive(Debug)]
 struct AmbiguousFailure {
     attempt: FailedAttempt,
-    /// Taken for no crash after this.
+    /// Assumed to be no crash after this.
     deadline: Instant,
 }
 
@@ -91,7 +92,7 @@
     ambiguous: Vec<AmbiguousFailure>,
     pending: BTreeMap<CallId, PendingTrial>,
     running: BTreeMap<CallId, RunningTrial>,
-    /// Ended trials, by the operation that must be stored before the leader is told of the end.
+    /// Ended trials, by the operation that must be stored before their end is reported to the leader.
     finishing: BTreeMap<u64, CallId>,
 }
 
@@ -110,17 +111,18 @@
         &self.known
     }
 
-    /// Whether there are no suspects.
+    /// Whether no crash is recorded or reported.
     pub(crate) fn is_empty(&self) -> bool {
         self.known.is_empty() && self.reported.is_empty()
     }
 
     /// Crashes counted against a request.
-    pub(crate) fn standing(&self, request: &RequestDigest) -> CrashCounts {
-        let own = self.reported.values().filter(|crash| crash.request == *request);
+    pub(crate) fn crash_counts(&self, request: &RequestDigest) -> CrashCounts {
+        let local = self.reported.values().filter(|crash| crash.request == *request);
         // Reported crashes may be in the records already, so the counts are not added.
-        let own = own.fold(CrashCounts::default(), |own, end| own.with_crash(end.in_trial));
-        self.known.crash_counts(request).max(own)
+        let local =
+            local.fold(CrashCounts::default(), |counts, crash| counts.with_crash(crash.in_trial));
+        self.known.crash_counts(request).max(local)
     }
 
     /// Applies changes of the replicated crash records.
@@ -128,8 +130,9 @@
         if !self.known.apply(news) {
             return;
         }
-        let number = self.known.state().revision;
-        self.reported.retain(|_, crash| crash.recorded_at.is_none_or(|recorded| number < recorded));
+        let revision = self.known.state().revision;
+        self.reported
+            .retain(|_, crash| crash.recorded_at.is_none_or(|recorded| revision < recorded));
         self.publish_counts(out);
     }
 
@@ -137,13 +140,14 @@
     /// here and recorded.
     fn publish_counts(&self, out: &mut Outbox) {
         let (known, quarantined) = self.known.counts();
-        let own: BTreeSet<&RequestDigest> =
+        let local: BTreeSet<&RequestDigest> =
             self.reported.values().map(|crash| &crash.request).collect();
-        let own = own.into_iter().filter(|request| !self.known.crash_counts(request).is_suspect());
-        out.push(Output::Suspects { suspects: known + own.count(), quarantined });
+        let local =
+            local.into_iter().filter(|request| !self.known.crash_counts(request).is_suspect());
+        out.push(Output::Suspects { suspects: known + local.count(), quarantined });
     }
 
-    /// Reports a crash if the failed attempt shows one, or waits for the registry to tell.
+    /// Reports a crash if the failed attempt shows one, or waits until the registry shows one.
     pub(super) fn on_failed_attempt(
         &mut self,
         attempt: FailedAttempt,
@@ -156,7 +160,7 @@
             (_, ProbeOutcome::ConnectionRefused) | (Some(RunState::Crashed), _) => {
                 self.report_crash(&attempt, cx, out);
             }
-            // The endpoint sends no heartbeats, so the registry cannot tell.
+            // The endpoint sends no heartbeats, so the registry cannot detect a crash.
             (None, _) => {}
             (Some(RunState::Running), _) => {
                 let deadline = cx.now.after(cx.registry.heartbeat() * AMBIGUOUS_TIMEOUT_HEARTBEATS);
@@ -168,18 +172,18 @@
         }
     }
 
-    /// Reports a crash of an endpoint that ran a request to the leader.
+    /// Reports to the leader that an endpoint crashed while it ran a request.
     fn report_crash(&mut self, attempt: &FailedAttempt, cx: &mut Context<'_>, out: &mut Outbox) {
         let FailedAttempt { request, endpoint, started_at, trial, .. } = attempt;
         let in_trial = trial.is_some();
-        let seen_ms = if started_at.is_some() { 0 } else { cx.wall.0 };
+        let detected_ms = if started_at.is_some() { 0 } else { cx.wall.0 };
         let run = CrashedRun {
             endpoint: endpoint.to_string(),
             started_at: started_at.unwrap_or(0),
-            detected_ms: seen_ms,
+            detected_ms,
         };
-        let ended = CrashReport { run, request: bytes_of(request), in_trial };
-        let kind = OperationKind::Ended(ended);
+        let report = CrashReport { run, request: bytes_of(request), in_trial };
+        let kind = OperationKind::Ended(report);
         let number = cx.operations.start_detached(kind, REPORT_TIMEOUT, cx.leader, cx.now, out);
         let expires_at = cx.now.after(REPORT_TIMEOUT);
         let crash = ReportedCrash { request: *request, in_trial, recorded_at: None, expires_at };
@@ -201,8 +205,9 @@
         if let Some(crash) = self.reported.get_mut(&operation) {
             crash.recorded_at = Some(reply.number);
         }
-        let known = self.known.state().revision;
-        self.reported.retain(|_, crash| crash.recorded_at.is_none_or(|recorded| known < recorded));
+        let revision = self.known.state().revision;
+        self.reported
+            .retain(|_, crash| crash.recorded_at.is_none_or(|recorded| revision < recorded));
         if let Some(call) = self.finishing.remove(&operation)
             && !self.finishing.values().any(|other| *other == call)
             && !self.running.contains_key(&call)
@@ -220,11 +225,11 @@
         cx: &Context<'_>,
         out: &mut Outbox,
     ) {
-        let standing = self.standing(&request);
-        if standing.is_quarantined() {
+        let counts = self.crash_counts(&request);
+        if counts.is_quarantined() {
             return out.reply(call, NodeReply::Trial(TrialAnswer::Quarantined));
         }
-        if !standing.is_suspect() {
+        if !counts.is_suspect() {
             return out.reply(call, NodeReply::Trial(TrialAnswer::Clear));
         }
         self.pending.insert(call, PendingTrial { request, deadline: cx.now.after(timeout) });
@@ -290,7 +295,7 @@
         cx: &mut Context<'_>,
         out: &mut Outbox,
     ) {
-        if self.standing(request).is_suspect() {
+        if self.crash_counts(request).is_suspect() {
             let kind = OperationKind::Clear(ClearRequest { request: bytes_of(request) });
             cx.operations.start_detached(kind, REPORT_TIMEOUT, cx.leader, cx.now, out);
         }
@@ -317,8 +322,8 @@
     pub(super) fn next_tick(&self) -> Option<Instant> {
         let pending = self.pending.values().map(|pending| pending.deadline);
         let ambiguous = self.ambiguous.iter().map(|failure| failure.deadline);
-        let own = self.reported.values().map(|crash| crash.expires_at);
-        pending.chain(ambiguous).chain(own).min()
+        let local = self.reported.values().map(|crash| crash.expires_at);
+        pending.chain(ambiguous).chain(local).min()
     }
 
     pub(super) fn tick(&mut self, cx: &mut Context<'_>, out: &mut Outbox) {
@@ -361,7 +366,7 @@
         out: &mut Outbox,
     ) {
         let Some(leader) = leader else { return };
-        let CrashCounts { total: ended, .. } = self.standing(&request);
+        let CrashCounts { total: ended, .. } = self.crash_counts(&request);
         let request = bytes_of(&request);
         out.send(
             leader,
--- a/crates/core/src/node/tests/backoff.rs
+++ b/crates/core/src/node/tests/backoff.rs
@@ -30,7 +30,7 @@
 /// Requests a place at a VM and returns whether it is granted.
 fn is_placed(net: &mut Net, vm: &str) -> bool {
     let before = net.observed.placed.len();
-    let call = net.ask(&vm.into(), NodeCall::Place(request()));
+    let call = net.call(&vm.into(), NodeCall::Place(request()));
     net.wait_for_answer(call);
     before < net.observed.placed.len()
 }
@@ -46,14 +46,14 @@
 
     reject(&mut net, "vm-4", LONG_BACKOFF);
     let requested = net.time();
-    let own = is_placed(&mut net, "vm-4");
+    let rejected_daemon = is_placed(&mut net, "vm-4");
     let waited = net.time().since(requested);
-    let other = is_placed(&mut net, "vm-5");
+    let other_daemon = is_placed(&mut net, "vm-5");
 
-    expect_false!(own);
+    expect_false!(rejected_daemon);
     expect_that!(waited, le(Duration::from_millis(500)));
     expect_that!(net.observed.rejected, elements_are![eq(&"overloaded")]);
-    expect_true!(other);
+    expect_true!(other_daemon);
 }
 
 #[gtest]
--- a/crates/core/src/node/tests/crash_retries.rs
+++ b/crates/core/src/node/tests/crash_retries.rs
@@ -58,11 +58,11 @@
         if !net.is_serving(vm) {
             return;
         }
-        let Some(standing) = net.standing(vm, &crashing_request()) else { return };
-        if standing.is_quarantined() {
+        let Some(counts) = net.crash_counts(vm, &crashing_request()) else { return };
+        if counts.is_quarantined() {
             return;
         }
-        if standing.is_suspect() {
+        if counts.is_suspect() {
             let call = request_trial(net, vm);
             self.pending_trials.push((vm.clone(), call));
         } else {
--- a/crates/core/src/node/tests/halls.rs
+++ b/crates/core/src/node/tests/halls.rs
@@ -52,14 +52,14 @@
     net.wait_for_answer(call);
     net.run(2);
 
-    net.ask(&net.entry(), NodeCall::Place(request()));
+    net.call(&net.entry(), NodeCall::Place(request()));
     net.run(5);
     let placed_while_out = net.observed.placed.len();
     let rejected = net.observed.rejected.clone();
     let call = net.order_hall(&"vm-2".into(), "h", false);
     net.wait_for_answer(call);
     net.run(2);
-    net.ask(&net.entry(), NodeCall::Place(request()));
+    net.call(&net.entry(), NodeCall::Place(request()));
     net.run(5);
 
     expect_that!(placed_while_out, eq(0));
@@ -71,7 +71,7 @@
 fn hall_order_rejects_waiting_requests() {
     let mut net = configured_net(&small_site(), 3);
     for _ in 0..5 {
-        net.ask(&net.entry(), NodeCall::Place(request()));
+        net.call(&net.entry(), NodeCall::Place(request()));
     }
     net.run(5);
     let waited = net.observed.rejected.len();
@@ -96,7 +96,7 @@
     }
     net.run(100);
 
-    net.ask(&net.entry(), NodeCall::Place(request()));
+    net.call(&net.entry(), NodeCall::Place(request()));
     net.run(5);
 
     expect_that!(net.observed.placed, is_empty());
@@ -168,13 +168,13 @@
     net.wait_for_answer(call);
     net.run(2);
 
-    net.ask(&"vm-5".into(), NodeCall::ReadHallsOut { limit: Duration::from_secs(1) });
+    net.call(&"vm-5".into(), NodeCall::ReadHallsOut { limit: Duration::from_secs(1) });
     net.run(10);
     let reads = net.observed.halls_read.clone();
     // A partitioned leader cannot confirm its state.
     net.partitioned = [old.clone()].into();
     net.isolate(&old);
-    net.ask(&old, NodeCall::ReadHallsOut { limit: Duration::from_secs(1) });
+    net.call(&old, NodeCall::ReadHallsOut { limit: Duration::from_secs(1) });
     net.run(100);
 
     expect_that!(reads.len(), eq(1));
--- a/crates/core/src/node/tests/mod.rs
+++ b/crates/core/src/node/tests/mod.rs
@@ -151,7 +151,7 @@
     let mut net = without_control();
 
     for _ in 0..6 {
-        net.ask(&"vm-4".into(), NodeCall::Place(request()));
+        net.call(&"vm-4".into(), NodeCall::Place(request()));
     }
     net.step(false);
 
@@ -162,7 +162,7 @@
 fn local_placement_lists_sampled_endpoints() {
     let mut net = without_control();
 
-    net.ask(&"vm-4".into(), NodeCall::Place(request()));
+    net.call(&"vm-4".into(), NodeCall::Place(request()));
     net.step(false);
 
     let [placement] = &net.observed.placements[..] else { panic!("{:?}", net.observed.placements) };
@@ -177,7 +177,7 @@
     net.submit(&"vm-4".into(), 1, "a");
     net.recover(60);
 
-    net.ask(&"vm-4".into(), NodeCall::Place(request()));
+    net.call(&"vm-4".into(), NodeCall::Place(request()));
     net.recover(20);
 
     let [placement] = &net.observed.placements[..] else { panic!("{:?}", net.observed.placements) };
@@ -194,7 +194,7 @@
     net.hosts.get_mut(&leader).unwrap().suspended = true;
     let vm: VmName = if *leader == *"vm-4" { "vm-5".into() } else { "vm-4".into() };
 
-    net.ask(&vm, NodeCall::Place(request()));
+    net.call(&vm, NodeCall::Place(request()));
     net.run(100);
 
     expect_that!(net.observed.placed.len(), eq(1));
--- a/crates/core/src/node/tests/net/faults.rs
+++ b/crates/core/src/node/tests/net/faults.rs
@@ -56,7 +56,7 @@
                 self.claim(&vm, key);
             }
             2 => {
-                self.ask(&vm, NodeCall::Place(request()));
+                self.call(&vm, NodeCall::Place(request()));
             }
             _ => {
                 if let Some(call) = self.observed.placed.pop() {
@@ -77,7 +77,7 @@
         };
         let call = CallId(self.next_call + 1);
         self.observed.record_claim(call, key, owner);
-        self.ask(vm, NodeCall::Claim { claim, limit: Duration::from_secs(2) });
+        self.call(vm, NodeCall::Claim { claim, limit: Duration::from_secs(2) });
     }
 
     /// Runs with delayed messages, random faults and random requests.
--- a/crates/core/src/node/tests/net/mod.rs
+++ b/crates/core/src/node/tests/net/mod.rs
@@ -275,8 +275,8 @@
     }
 
     /// Crashes that a daemon counts against a request; `None` while it does not run.
-    pub(super) fn standing(&self, vm: &VmName, request: &RequestDigest) -> Option<CrashCounts> {
-        Some(self.hosts[vm].node.as_ref()?.standing(request))
+    pub(super) fn crash_counts(&self, vm: &VmName, request: &RequestDigest) -> Option<CrashCounts> {
+        Some(self.hosts[vm].node.as_ref()?.crash_counts(request))
     }
 
     /// Whether a VM's daemon runs and may send requests to endpoints.
@@ -285,7 +285,7 @@
     }
 
     /// Makes a call to a node; the reply is checked on arrival.
-    pub(super) fn ask(&mut self, vm: &VmName, request: NodeCall) -> CallId {
+    pub(super) fn call(&mut self, vm: &VmName, request: NodeCall) -> CallId {
         self.next_call += 1;
         let call = CallId(self.next_call);
         self.handle(vm, Input::Call(call, request));
@@ -302,7 +302,7 @@
         let command = ConfigChange::new(version, base_version, base, &document);
         let submit = Submit { file: "f.ini".into(), command, or_newer: false };
         self.observed.record_submission(CallId(self.next_call + 1), version);
-        self.ask(vm, NodeCall::Submit(submit));
+        self.call(vm, NodeCall::Submit(submit));
     }
 
     /// Orders a data hall out of service or back, based on the state that the VM knows.
@@ -311,7 +311,7 @@
         let order = HallOrder { hall: hall.into(), out, after };
         let call = CallId(self.next_call + 1);
         self.observed.halls.record_order(call, &order, Instant(self.now));
-        self.ask(vm, NodeCall::ChangeHall { order, limit: Duration::from_secs(1) })
+        self.call(vm, NodeCall::ChangeHall { order, limit: Duration::from_secs(1) })
     }
 
     /// Completes the oldest pending write of a VM.
--- a/crates/core/src/node/tests/quarantine.rs
+++ b/crates/core/src/node/tests/quarantine.rs
@@ -45,7 +45,7 @@
 
 /// Requests a trial at a VM.
 pub(super) fn request_trial(net: &mut Net, vm: &VmName) -> CallId {
-    net.ask(vm, NodeCall::Trial { request: crashing_request(), limit: Duration::from_secs(2) })
+    net.call(vm, NodeCall::Trial { request: crashing_request(), limit: Duration::from_secs(2) })
 }
 
 /// Brings the request into quarantine with one crash and two crashed trials.
@@ -63,7 +63,7 @@
 }
 
 fn is_quarantined_on(net: &Net, vm: &VmName) -> bool {
-    net.standing(vm, &crashing_request()).is_some_and(CrashCounts::is_quarantined)
+    net.crash_counts(vm, &crashing_request()).is_some_and(CrashCounts::is_quarantined)
 }
 
 #[gtest]
@@ -74,8 +74,8 @@
     net.run(5);
 
     for vm in &net.vms() {
-        let standing = net.standing(vm, &crashing_request());
-        expect_that!(standing, some(eq(CrashCounts { total: 1, in_trials: 0 })), "{vm}");
+        let counts = net.crash_counts(vm, &crashing_request());
+        expect_that!(counts, some(eq(CrashCounts { total: 1, in_trials: 0 })), "{vm}");
     }
 }
 
@@ -88,8 +88,8 @@
     }
     net.run(10);
 
-    let standing = net.standing(&"vm-5".into(), &crashing_request());
-    expect_that!(standing, some(eq(CrashCounts { total: 1, in_trials: 0 })));
+    let counts = net.crash_counts(&"vm-5".into(), &crashing_request());
+    expect_that!(counts, some(eq(CrashCounts { total: 1, in_trials: 0 })));
 }
 
 #[gtest]
@@ -129,11 +129,11 @@
     net.run(100);
 
     crash_endpoint(&mut net, &"vm-4".into(), "e0", None);
-    let at_once = net.standing(&"vm-4".into(), &crashing_request());
+    let at_once = net.crash_counts(&"vm-4".into(), &crashing_request());
     net.recover(100);
 
     expect_that!(at_once, some(eq(CrashCounts { total: 1, in_trials: 0 })));
-    let on_other_daemon = net.standing(&"vm-5".into(), &crashing_request());
+    let on_other_daemon = net.crash_counts(&"vm-5".into(), &crashing_request());
     expect_that!(on_other_daemon, some(eq(CrashCounts { total: 1, in_trials: 0 })));
 }
 
@@ -171,7 +171,7 @@
     expect_that!(net.observed.trials.get(&second), some(eq(&TrialAnswer::Clear)));
     for vm in &net.vms() {
         expect_that!(
-            net.standing(vm, &crashing_request()),
+            net.crash_counts(vm, &crashing_request()),
             some(eq(CrashCounts::default())),
             "{vm}"
         );
@@ -185,9 +185,9 @@
 
     let clear =
         || NodeCall::ClearSuspect { request: crashing_request(), limit: Duration::from_secs(1) };
-    net.ask(&"vm-2".into(), clear());
+    net.call(&"vm-2".into(), clear());
     net.run(10);
-    net.ask(&"vm-5".into(), clear());
+    net.call(&"vm-5".into(), clear());
     net.run(10);
 
     expect_that!(net.observed.cleared, eq(&vec![Some(true), Some(false)]));
@@ -230,7 +230,7 @@
     net.run(10);
 
     expect_that!(
-        net.standing(&"vm-4".into(), &crashing_request()),
+        net.crash_counts(&"vm-4".into(), &crashing_request()),
         some(eq(CrashCounts::default()))
     );
 }
@@ -247,7 +247,7 @@
     }
 
     expect_that!(
-        net.standing(&"vm-4".into(), &crashing_request()),
+        net.crash_counts(&"vm-4".into(), &crashing_request()),
         some(eq(CrashCounts::default()))
     );
 }
@@ -258,15 +258,15 @@
     heartbeat(&mut net, "i-1", 1, false);
 
     fail_attempt(&mut net, ProbeOutcome::NoAnswer);
-    let before = net.standing(&"vm-4".into(), &crashing_request());
+    let before = net.crash_counts(&"vm-4".into(), &crashing_request());
     for sequence in 2..12 {
         heartbeat(&mut net, "i-2", sequence, false);
         net.run(45);
     }
 
     expect_that!(before, some(eq(CrashCounts::default())));
-    let standing = net.standing(&"vm-5".into(), &crashing_request());
-    expect_that!(standing, some(eq(CrashCounts { total: 1, in_trials: 0 })));
+    let counts = net.crash_counts(&"vm-5".into(), &crashing_request());
+    expect_that!(counts, some(eq(CrashCounts { total: 1, in_trials: 0 })));
 }
 
 proptest! {
--- a/crates/core/src/node/tests/rate_limits.rs
+++ b/crates/core/src/node/tests/rate_limits.rs
@@ -84,7 +84,7 @@
         }
         let endpoints = vec![ENDPOINT.into()];
         let ask = PermitRequest { requester: CallId(0), service: "s".into(), endpoints, max_wait };
-        let call = net.ask(vm, NodeCall::Permit(ask));
+        let call = net.call(vm, NodeCall::Permit(ask));
         self.pending_permits.push((vm.clone(), call));
     }
 
--- a/crates/core/src/node/tests/slot_leaks.rs
+++ b/crates/core/src/node/tests/slot_leaks.rs
@@ -80,7 +80,7 @@
         match step {
             Step::Arrives(at) => {
                 let entry: VmName = if at % 2 == 0 { "vm-4" } else { "vm-5" }.into();
-                let call = self.net.ask(&entry, NodeCall::Place(request()));
+                let call = self.net.call(&entry, NodeCall::Place(request()));
                 self.requests.push(Request { entry, call });
             }
             Step::IsCancelled(at) => self.send_input(at, Input::Cancelled),
--- a/crates/lab/src/suspects/cost.rs
+++ b/crates/lab/src/suspects/cost.rs
@@ -45,7 +45,7 @@
     for _ in 0..looks {
         let req = black_box(&req);
         if black_box(node.has_suspects()) {
-            black_box(node.standing(&key.digest(req)));
+            black_box(node.crash_counts(&key.digest(req)));
         }
     }
     Cost { records, body, nanos: began.elapsed().as_secs_f64() * 1e9 / looks as f64 }
@@ -73,6 +73,6 @@
     let news = SuspectNews { after: 0, up_to: records, reset: false, more: false, changes };
     let clocks = Clocks { now: Instant(1), wall: UnixMillis(1) };
     node.handle(Input::Message("control".into(), Body::Suspects(news)), clocks);
-    assert_eq!(node.standing(&RequestDigest::default()).total, 0);
+    assert_eq!(node.crash_counts(&RequestDigest::default()).total, 0);
     node
 }
--- a/crates/server/src/runtime/mod.rs
+++ b/crates/server/src/runtime/mod.rs
@@ -181,7 +181,7 @@
     /// such requests.
     pub(crate) fn standing(&self, digest: impl FnOnce() -> RequestDigest) -> CrashCounts {
         let node = self.0.node.borrow();
-        if node.has_suspects() { node.standing(&digest()) } else { CrashCounts::default() }
+        if node.has_suspects() { node.crash_counts(&digest()) } else { CrashCounts::default() }
     }
 
     /// The limit that an endpoint names, if it does.
