--- a/crates/server/src/relay/failed_attempt.rs
+++ b/crates/server/src/relay/failed_attempt.rs
@@ -1,7 +1,7 @@
 //! Probes whether an endpoint has crashed after an attempt on it failed.
 //!
 //! A crashed endpoint refuses a new connection; one that only failed the request accepts it. So may
-//! a process that is still terminating, as it closes its listening socket last. An endpoint that
+//! a process that is still terminating, which may close its listening socket last. An endpoint that
 //! accepts the connection is therefore watched for a while in the background.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
--- a/crates/server/src/relay/quarantine_turn.rs
+++ b/crates/server/src/relay/quarantine_turn.rs
@@ -1,5 +1,5 @@
-//! Turns of suspect requests, on whose endpoints crashes were seen: their attempts run one at a
-//! time as trials until the request is cleared or quarantined.
+//! Turns of suspect requests, which were running on endpoints that crashed: their attempts run one
+//! at a time as trials until the request is cleared or quarantined.
 
 use trayswitch_core::{
     error::RequestError,
--- a/crates/server/src/relay/stream/mod.rs
+++ b/crates/server/src/relay/stream/mod.rs
@@ -26,7 +26,8 @@
     upstream::Event,
 };
 
-/// Progress is reported to the node, which forecasts KV cache usage, after this many events.
+/// Progress is reported to the node, which forecasts KV cache usage, after this many events. A trial
+/// counts as begun after as many.
 const PROGRESS_INTERVAL_EVENTS: u64 = 8;
 /// Estimate for engines that do not report token counts.
 const TOKENS_PER_EVENT: u64 = 4;
--- a/crates/server/src/relay/stream/relocation.rs
+++ b/crates/server/src/relay/stream/relocation.rs
@@ -28,7 +28,8 @@
         self.relocation.as_ref().is_some_and(Relocation::is_stopping)
     }
 
-    /// Starts a relocation, unless an endpoint is gone or the target accepts no new requests.
+    /// Starts a relocation, unless an endpoint is gone, the target accepts no new requests or the
+    /// source backs off.
     pub(super) fn start_relocation(&mut self, order: &MoveOrder) {
         let view = self.relay.node.view();
         let (from, to) = (view.endpoint(&order.from), view.endpoint(&order.to));
