--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -12,5 +12,5 @@
     body::{BodyError, header, read_body, respond, respond_json},
     event_reader::{Event, EventError, EventReader},
     event_writer::{EventWriter, OutgoingEvent},
-    listener::{HttpServer, SocketBounds},
+    listener::{HttpServer, SocketTimeouts},
 };
--- a/crates/http/src/listener.rs
+++ b/crates/http/src/listener.rs
@@ -16,16 +16,16 @@
 
 /// Longest silences that a connection may have.
 #[derive(Debug, Clone, Copy)]
-pub struct SocketBounds {
+pub struct SocketTimeouts {
     /// Longest wait for the next bytes of a request.
     pub read: Duration,
     /// Longest wait for the peer to take bytes of an answer.
     pub write: Duration,
 }
 
-impl Default for SocketBounds {
-    fn default() -> SocketBounds {
-        SocketBounds { read: Duration::from_secs(30), write: Duration::from_secs(20) }
+impl Default for SocketTimeouts {
+    fn default() -> SocketTimeouts {
+        SocketTimeouts { read: Duration::from_secs(30), write: Duration::from_secs(20) }
     }
 }
 
@@ -59,7 +59,7 @@
     /// Binds the address and serves it; `handle` must not block for long.
     pub fn bind(
         address: SocketAddr,
-        bounds: SocketBounds,
+        bounds: SocketTimeouts,
         handle: Arc<dyn Fn(Request) + Send + Sync>,
     ) -> io::Result<HttpServer> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
--- a/crates/http/src/tests.rs
+++ b/crates/http/src/tests.rs
@@ -97,7 +97,7 @@
     const BURST: usize = 24;
     let handle = |req| drop(respond_json(req, 200, &[], &1));
     let address = "127.0.0.1:0".parse().unwrap();
-    let server = HttpServer::bind(address, SocketBounds::default(), Arc::new(handle)).unwrap();
+    let server = HttpServer::bind(address, SocketTimeouts::default(), Arc::new(handle)).unwrap();
     let mut answered = 0;
     for _ in 0..BURSTS {
         let connect = |_| {
--- a/crates/lab/src/emulate/mod.rs
+++ b/crates/lab/src/emulate/mod.rs
@@ -9,7 +9,7 @@
 
 use serde::Deserialize;
 use tiny_http::{Method, Request};
-use trayswitch_http::{HttpServer, SocketBounds, read_body, respond_json};
+use trayswitch_http::{HttpServer, SocketTimeouts, read_body, respond_json};
 
 pub(crate) use self::{
     faults::{Fault, Faults},
@@ -47,7 +47,7 @@
             _ => endpoint.serve(req),
         });
     };
-    HttpServer::bind(address, SocketBounds::default(), Arc::new(handle))
+    HttpServer::bind(address, SocketTimeouts::default(), Arc::new(handle))
 }
 
 /// Reads a JSON body, or answers 400.
--- a/crates/trayswitchd/src/callers/mod.rs
+++ b/crates/trayswitchd/src/callers/mod.rs
@@ -15,7 +15,7 @@
 use eyre::{Result, WrapErr};
 use tiny_http::{Method, Request};
 use trayswitch_core::error::{ErrorKind, RequestError};
-use trayswitch_http::{HttpServer, SocketBounds, respond_json};
+use trayswitch_http::{HttpServer, SocketTimeouts, respond_json};
 
 pub(crate) use self::context::Callers;
 
@@ -26,7 +26,7 @@
     let address = callers.settings().callers;
     let shared = callers.clone();
     let handle = move |req: Request| take(&shared, req);
-    HttpServer::bind(address, SocketBounds::default(), Arc::new(handle))
+    HttpServer::bind(address, SocketTimeouts::default(), Arc::new(handle))
         .wrap_err_with(|| format!("cannot serve callers on {address}"))
 }
 
--- a/crates/trayswitchd/src/operators/mod.rs
+++ b/crates/trayswitchd/src/operators/mod.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use tiny_http::{Method, Request};
 use trayswitch_core::node::SubmitError;
-use trayswitch_http::{HttpServer, SocketBounds, header, read_body, respond, respond_json};
+use trayswitch_http::{HttpServer, SocketTimeouts, header, read_body, respond, respond_json};
 
 use crate::{callers::Callers, settings::Settings};
 
@@ -30,7 +30,7 @@
             }
         });
     };
-    HttpServer::bind(address, SocketBounds::default(), Arc::new(handle))
+    HttpServer::bind(address, SocketTimeouts::default(), Arc::new(handle))
         .wrap_err_with(|| format!("cannot serve operators on {address}"))
 }
 
