--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -65,7 +65,7 @@
 /// Suspends the VM that a test plays on this thread: the time passes at once, and no other clock tells
 /// of it.
 #[cfg(feature = "suspend")]
-pub fn suspend(time: Duration) {
+pub fn simulate_suspend(time: Duration) {
     SUSPENDED.set(SUSPENDED.get() + time);
 }
 
--- a/crates/clock/src/tests.rs
+++ b/crates/clock/src/tests.rs
@@ -4,13 +4,13 @@
 
 use googletest::prelude::*;
 
-use super::{Instant, suspend};
+use super::{Instant, simulate_suspend};
 
 #[gtest]
 fn it_counts_the_time_in_which_the_vm_was_suspended() {
     let before = Instant::now();
 
-    suspend(Duration::from_secs(5));
+    simulate_suspend(Duration::from_secs(5));
 
     expect_that!(before.elapsed(), ge(Duration::from_secs(5)));
 }
@@ -18,7 +18,7 @@
 #[gtest]
 fn a_test_suspends_only_the_vm_of_its_own_thread() {
     let before = Instant::now();
-    suspend(Duration::from_secs(3_600));
+    simulate_suspend(Duration::from_secs(3_600));
 
     let elsewhere = thread::spawn(Instant::now).join().unwrap();
 
--- a/crates/server/src/relay/tests/suspension.rs
+++ b/crates/server/src/relay/tests/suspension.rs
@@ -146,7 +146,7 @@
         let (answer, arrival) = join!(daemon.send("/once/x", "r1"), async {
             let arrival = desk.next_arrival().await;
             // The timeout of the route.
-            trayswitch_clock::suspend(Duration::from_secs(600));
+            trayswitch_clock::simulate_suspend(Duration::from_secs(600));
             arrival
         });
 
--- a/crates/server/src/relay/tests/test_daemon.rs
+++ b/crates/server/src/relay/tests/test_daemon.rs
@@ -236,7 +236,7 @@
 
     /// Suspends the VM for longer than the configuration stays current.
     pub(super) fn suspend(&self) {
-        trayswitch_clock::suspend(LIMIT);
+        trayswitch_clock::simulate_suspend(LIMIT);
     }
 
     /// Whether the readiness check passes.
