--- a/crates/core/src/config/document.rs
+++ b/crates/core/src/config/document.rs
@@ -1,4 +1,4 @@
-//! An INI file as named sections of keys, its content hash, and deltas between two files.
+//! Parsed INI files: sections by name, content hashes, and deltas between documents.
 
 use std::{collections::BTreeMap, fmt, sync::Arc};
 
@@ -7,19 +7,19 @@
 
 use crate::units::Hex;
 
-/// Full name of a section, for example `workspace studio-1`.
+/// Full name of a section, such as `workspace studio-1`.
 pub type SectionName = Arc<str>;
 
-/// One fault in a file.
+/// An error in a configuration file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigError {
-    /// Name of the file as the operator gave it.
+    /// File name as given by the operator.
     pub file: String,
-    /// The section, or empty when the fault lies outside all sections.
+    /// Section name; empty if the error is outside all sections.
     pub section: String,
-    /// The key, or empty when the fault concerns the section itself.
+    /// Key; empty if the error concerns the section as a whole.
     pub key: String,
-    /// What is wrong and what is expected.
+    /// What is wrong and what was expected.
     pub message: String,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Every fault found in a file; never empty when returned as an error.
+/// All errors found in a file; never empty when returned as an error.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigErrors(pub Vec<ConfigError>);
 
@@ -57,7 +57,7 @@
 /// The keys and values of one section.
 pub type Section = BTreeMap<String, String>;
 
-/// A section with the hash of its name and content, shared between documents.
+/// A section with the SHA-256 of its name and content; immutable, so that documents can share it.
 #[derive(Debug, PartialEq, Eq)]
 pub struct HashedSection {
     keys: Section,
@@ -65,7 +65,7 @@
 }
 
 impl HashedSection {
-    /// Hashes a section.
+    /// Computes the hash; each text is prefixed with its length to keep the encoding unambiguous.
     pub fn new(name: &str, keys: Section) -> HashedSection {
         let mut hasher = Sha256::new();
         let mut field = |text: &str| {
@@ -80,7 +80,7 @@
         HashedSection { keys, hash: hasher.finalize().into() }
     }
 
-    /// Its keys and values.
+    /// The keys and values.
     pub fn keys(&self) -> &Section {
         &self.keys
     }
@@ -97,24 +97,24 @@
 }
 
 impl ContentHash {
-    /// Reads a hash from exactly 32 bytes.
+    /// Returns `None` unless `bytes` is exactly 32 bytes long.
     pub fn from_slice(bytes: &[u8]) -> Option<ContentHash> {
         bytes.try_into().ok().map(ContentHash)
     }
 }
 
-/// The sections that change between two documents.
+/// The difference between two documents, by section.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Delta {
-    /// Sections that are new or differ.
+    /// Sections that were added or changed.
     pub changed: BTreeMap<SectionName, Arc<HashedSection>>,
-    /// Sections that are gone.
+    /// Sections that were removed.
     pub removed: Vec<SectionName>,
 }
 
 impl Delta {
-    /// What several deltas, each of which goes on from the one before, come to merged. A section
-    /// that came and went again is removed, also where it never was; [`Document::apply`] allows it.
+    /// Merges consecutive deltas into one. A section that was added and removed again is listed as
+    /// removed; [`Document::apply`] ignores the removal of a missing section.
     pub fn merge<'a>(deltas: impl IntoIterator<Item = &'a Delta>) -> Delta {
         let mut last = BTreeMap::new();
         for delta in deltas {
@@ -131,20 +131,20 @@
         merged
     }
 
-    /// Names of all sections that it touches.
+    /// Names of all changed and removed sections.
     pub fn section_names(&self) -> impl Iterator<Item = &SectionName> {
         self.changed.keys().chain(&self.removed)
     }
 }
 
-/// A parsed file: its sections by name.
+/// A parsed configuration file.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Document {
     sections: BTreeMap<SectionName, Arc<HashedSection>>,
 }
 
 impl Document {
-    /// The sections by full name.
+    /// All sections by full name.
     pub fn sections(&self) -> &BTreeMap<SectionName, Arc<HashedSection>> {
         &self.sections
     }
@@ -159,7 +159,7 @@
         self.sections.insert(name.into(), Arc::new(HashedSection::new(name, keys)));
     }
 
-    /// Parses INI text; reports syntax errors, keys outside sections, and repeated names.
+    /// Parses INI text; reports syntax errors, keys outside sections, and duplicate names.
     pub fn parse(file: &str, text: &str) -> Result<Document, ConfigErrors> {
         let error = |section: &str, key: &str, message: String| ConfigError {
             file: file.to_owned(),
@@ -167,7 +167,7 @@
             key: key.to_owned(),
             message,
         };
-        // Values are taken as they stand, so that what was written is what is read.
+        // Values are literal: neither quotes nor escapes are interpreted.
         let option =
             ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
         let ini = Ini::load_from_str_opt(text, option)
@@ -177,7 +177,7 @@
         for (name, properties) in ini.iter() {
             let Some(name) = name else {
                 for (key, _) in properties.iter() {
-                    errors.push(error("", key, "this key stands before any section".into()));
+                    errors.push(error("", key, "this key is outside any section".into()));
                 }
                 continue;
             };
@@ -199,16 +199,16 @@
         Ok(document)
     }
 
-    /// The canonical INI text, which parses to the same document.
+    /// The canonical INI text. Parsing it returns an equal document.
     pub fn to_ini(&self) -> String {
         let mut ini = Ini::new();
         for (name, section) in &self.sections {
             let mut setter = ini.with_section(Some(&**name));
-            // A section without keys still has to be written.
             let mut setter = &mut setter;
             for (key, value) in section.keys() {
                 setter = setter.set(key.as_str(), value.as_str());
             }
+            // The setter creates a section only with its first key.
             if section.keys().is_empty() {
                 ini.entry(Some(name.to_string())).or_insert(Default::default());
             }
@@ -219,8 +219,8 @@
         String::from_utf8(buf).expect("INI text is UTF-8")
     }
 
-    /// Hash over the hashes of all sections in order of their names; equal content has an
-    /// equal hash in any order of sections.
+    /// Hash over the section hashes in order of section names, so that the order of sections in the
+    /// file does not matter.
     pub fn content_hash(&self) -> ContentHash {
         let mut hasher = Sha256::new();
         for section in self.sections.values() {
@@ -229,7 +229,7 @@
         ContentHash(hasher.finalize().into())
     }
 
-    /// The delta that turns this document into `newer`.
+    /// The delta from this document to `newer`.
     pub fn delta_to(&self, newer: &Document) -> Delta {
         let changed = newer
             .sections
--- a/crates/core/src/config/endpoint.rs
+++ b/crates/core/src/config/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints: the back ends of models and plain services.
+//! Endpoints: servers of models and plain services.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -9,10 +9,10 @@
 
 const DEFAULT_SLOTS: u64 = 64;
 
-/// What an endpoint serves.
+/// The model or service that an endpoint serves.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndpointTarget {
-    /// A model engine.
+    /// A model, served by an engine.
     Model(String),
     /// A plain service.
     Service(String),
@@ -27,33 +27,34 @@
     }
 }
 
-/// A back end.
+/// Settings of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointSpec {
-    /// When its run was started, if it has told; another run has nothing of what was known of it.
+    /// Start time of the current run as the endpoint reported it; 0 if unknown. A different value
+    /// means that the endpoint restarted and lost its state.
     pub started_at: u64,
-    /// Data hall it stands in.
+    /// Data hall that it is located in.
     pub hall: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// What it serves.
+    /// The model or service that it serves.
     pub target: EndpointTarget,
-    /// Most requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u64,
-    /// Memory for streams, in tokens; zero for plain services.
+    /// KV cache capacity in tokens; 0 for plain services.
     pub kv_tokens: u64,
-    /// Whether it refuses orders that carry an old fence.
+    /// Whether it rejects commands with a stale fencing token.
     pub checks_fence: bool,
-    /// Whether a generation that runs here can be moved to another endpoint.
+    /// Whether a running generation can be relocated to another endpoint.
     pub supports_relocation: bool,
-    /// What it bears while it is cold; nothing where a start makes no difference.
+    /// Request pacing while it is cold; `None` if it needs no warm-up.
     pub cold_start: Option<ColdStart>,
 }
 
 /// Endpoints by name.
 pub type Endpoints = BTreeMap<String, EndpointSpec>;
 
-/// Reads an endpoint.
+/// Reads an `[endpoint NAME]` section; `None` if the address or the target is invalid.
 pub(super) fn read(r: &mut SectionReader<'_>) -> Option<EndpointSpec> {
     let hall = r.text("hall");
     let address = r.address("address");
@@ -67,7 +68,7 @@
         }
         (None, Some(service)) => (EndpointTarget::Service(service), 0),
         _ => {
-            r.add_error("model", "give either model or service");
+            r.add_error("model", "expected exactly one of model and service");
             return None;
         }
     };
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,6 +1,5 @@
-//! The operators' declarative file: parsing, checking, hashing and deltas.
+//! The configuration file of a deployment: parsing, validation, content hashes and deltas.
 
-mod check;
 mod document;
 mod endpoint;
 mod limits;
@@ -11,6 +10,7 @@
 mod service;
 #[cfg(test)]
 mod tests;
+mod validator;
 mod workspace;
 
 pub use self::{
--- a/crates/core/src/config/reader.rs
+++ b/crates/core/src/config/reader.rs
@@ -1,21 +1,22 @@
-//! Typed reading of one section; collects every fault instead of stopping at the first.
+//! Typed access to the keys of a section; collects all errors instead of stopping at the first.
 
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
 
 use super::document::{ConfigError, Section};
 use crate::units::parse_duration;
 
-/// Key under which an adapter keeps the text that a section was translated from.
+/// Key that holds the original text of a section that an adapter translated from another format.
+/// Allowed in every section.
 pub const SOURCE_KEY: &str = "source";
 
-/// Largest weight or share in a file.
+/// Maximum weight or share.
 pub(super) const MAX_WEIGHT: u64 = 1_000;
-/// Largest number of requests or connections in a file.
+/// Maximum number of requests or connections.
 pub(super) const MAX_COUNT: u64 = 1_000_000;
-/// Largest number of tokens in an endpoint's memory in a file.
+/// Maximum KV cache capacity of an endpoint, in tokens.
 pub(super) const MAX_TOKENS: u64 = 1_000_000_000;
 
-/// Reads the keys of one section and remembers which were asked for.
+/// Reads the keys of a section and tracks which keys are known, to report the others.
 pub struct SectionReader<'a> {
     file: &'a str,
     name: &'a str,
@@ -25,18 +26,17 @@
 }
 
 impl<'a> SectionReader<'a> {
-    /// A reader over `section`; errors are added to `errors`.
+    /// Creates a reader of `section` that appends to `errors`.
     pub fn new(
         file: &'a str,
         name: &'a str,
         section: &'a Section,
         errors: &'a mut Vec<ConfigError>,
     ) -> SectionReader<'a> {
-        // Any section may keep what it was translated from, to be read back as it was sent.
         SectionReader { file, name, section, known: BTreeSet::from([SOURCE_KEY]), errors }
     }
 
-    /// Records a fault at `key`.
+    /// Adds an error at `key`.
     pub fn add_error(&mut self, key: &str, message: impl Into<String>) {
         self.errors.push(ConfigError {
             file: self.file.to_owned(),
@@ -46,13 +46,13 @@
         });
     }
 
-    /// The raw value of a key that may be absent.
+    /// The raw value of an optional key.
     pub fn raw(&mut self, key: &'static str) -> Option<&'a str> {
         self.known.insert(key);
         self.section.get(key).map(String::as_str)
     }
 
-    /// A text that must be present and not empty.
+    /// A required, non-empty text.
     pub fn text(&mut self, key: &'static str) -> String {
         match self.raw(key) {
             Some(text) if !text.is_empty() => text.to_owned(),
@@ -63,20 +63,20 @@
         }
     }
 
-    /// A whole number from `min` to `max`; `default` when absent, required when that is `None`.
+    /// A whole number from `min` to `max`. The key is required if `default` is `None`.
     pub fn number(&mut self, key: &'static str, default: Option<u64>, min: u64, max: u64) -> u64 {
         let expected = format!("expected a whole number from {min} to {max}");
         let parse = |text: &str| text.parse().ok().filter(|n| (min..=max).contains(n));
         self.parsed(key, default, parse, &expected).unwrap_or(min)
     }
 
-    /// A duration with its unit.
+    /// A duration with a unit. The key is required if `default` is `None`.
     pub fn duration(&mut self, key: &'static str, default: Option<Duration>) -> Duration {
         let expected = "expected a duration such as 250ms, 5s or 2m";
         self.parsed(key, default, parse_duration, expected).unwrap_or_default()
     }
 
-    /// `yes` or `no`.
+    /// `yes` or `no`. The key is required if `default` is `None`.
     pub fn flag(&mut self, key: &'static str, default: Option<bool>) -> bool {
         let parse = |text: &str| match text {
             "yes" => Some(true),
@@ -86,13 +86,13 @@
         self.parsed(key, default, parse, "expected yes or no").unwrap_or_default()
     }
 
-    /// An IP number and port; a fault and `None` when absent or wrong.
+    /// A required IP address and port; `None` if missing or invalid.
     pub fn address(&mut self, key: &'static str) -> Option<SocketAddr> {
-        let expected = "expected an IP number and port such as 10.0.0.7:9000";
+        let expected = "expected an IP address and port such as 10.0.0.7:9000";
         self.parsed(key, None, |text| text.parse().ok(), expected)
     }
 
-    /// Reports every key that was never asked for.
+    /// Reports every unknown key.
     pub fn finish(mut self) {
         let unknown: Vec<&str> = self
             .section
@@ -108,7 +108,7 @@
             .collect::<Vec<_>>()
             .join(", ");
         for key in unknown {
-            self.add_error(key, format!("unknown key; this section knows {known}"));
+            self.add_error(key, format!("unknown key; expected one of {known}"));
         }
     }
 
--- a/crates/core/src/config/route.rs
+++ b/crates/core/src/config/route.rs
@@ -1,76 +1,76 @@
-//! Routes: which service answers a host and path, and on what terms.
+//! Routes: the services, limits and latency targets of a host and path prefix.
 
 use std::{sync::Arc, time::Duration};
 
 use super::reader::SectionReader;
 
-const MAX_WEIGHT: u64 = 1_000_000;
+const MAX_SERVICE_WEIGHT: u64 = 1_000_000;
 const MAX_ATTEMPTS: u64 = 100;
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-const DEFAULT_TARGET: Duration = Duration::from_secs(1);
+const DEFAULT_TARGET_LATENCY: Duration = Duration::from_secs(1);
 const DEFAULT_LONGEST_GAP: Duration = Duration::from_millis(200);
 
-/// How often a request may run.
+/// Type of the requests of a route; decides whether they may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// A call that may run more than once.
+    /// An idempotent call.
     Repeatable,
-    /// A call that may run at most once.
+    /// A call that must run at most once.
     Single,
-    /// A generation that may run at most once.
+    /// A generation that must run at most once.
     Generation,
-    /// A generation that another endpoint may go on with after any event.
+    /// A generation that another endpoint can resume after any event.
     ResumableGeneration,
 }
 
 impl RouteKind {
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub fn is_repeatable(self) -> bool {
         matches!(self, RouteKind::Repeatable | RouteKind::ResumableGeneration)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_generation(self) -> bool {
         matches!(self, RouteKind::Generation | RouteKind::ResumableGeneration)
     }
 }
 
-/// A service that a route leads to.
+/// A service that a route sends requests to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteTarget {
     /// Name of the service.
     pub service: String,
-    /// Share of the requests, relative to the other targets.
+    /// Fraction of the requests, relative to the weights of the other targets.
     pub weight: u64,
 }
 
-/// One route.
+/// Settings of a route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteSpec {
-    /// Host that callers name.
+    /// Host of the request.
     pub host: String,
-    /// Start of the paths that it takes; begins and ends with a slash.
+    /// Prefix of the request path; starts and ends with a slash.
     pub path_prefix: String,
-    /// Where it leads; at least one weight is above zero.
+    /// Services to choose from; at least one weight is positive.
     pub targets: Vec<RouteTarget>,
-    /// How often a request may run.
+    /// Type of the requests.
     pub kind: RouteKind,
-    /// Longest time until the final answer.
+    /// Maximum time until the response is complete.
     pub timeout: Duration,
-    /// Time within which an answer, or the first event of a stream, is wanted.
+    /// Target time to the response, or to the first event of a stream.
     pub target_latency: Duration,
-    /// Longest pause between the events of a stream that callers accept.
+    /// Maximum acceptable time between two events of a stream.
     pub longest_gap: Duration,
-    /// Most endpoints that one request may be sent to.
+    /// Maximum number of endpoints that a request may be sent to.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests without a workspace key are accepted.
     pub public: bool,
-    /// Tier of requests without a workspace.
+    /// Tier of requests that belong to no workspace.
     pub tier: Option<String>,
 }
 
 impl RouteSpec {
-    /// The target that a number drawn evenly from all 64-bit values leads to.
+    /// Selects a service in proportion to the weights; `draw` is a uniform random number.
     pub fn pick_service(&self, draw: u64) -> &str {
         let sum: u64 = self.targets.iter().map(|target| target.weight).sum();
         let mut at = draw % sum.max(1);
@@ -89,22 +89,22 @@
 pub struct NamedRoute {
     /// Name of the route.
     pub name: Arc<str>,
-    /// Its terms.
+    /// Settings of the route.
     pub spec: Arc<RouteSpec>,
 }
 
-/// Start of the names of sections of routes.
-pub(super) const ROUTE: &str = "route ";
+/// Prefix of the section names of routes.
+pub(super) const ROUTE_PREFIX: &str = "route ";
 
-/// Reads a route.
+/// Reads a `[route NAME]` section; `None` if the services or the kind are invalid.
 pub(super) fn read(r: &mut SectionReader<'_>) -> Option<RouteSpec> {
     let host = r.text("host");
     let path_prefix = r.text("path_prefix");
     if !path_prefix.starts_with('/') || !path_prefix.ends_with('/') {
-        r.add_error("path_prefix", "must begin and end with a slash");
+        r.add_error("path_prefix", "must start and end with a slash");
     }
-    let targets = targets(r);
-    let kind = kind(r);
+    let targets = read_targets(r);
+    let kind = read_kind(r);
     let timeout = r.duration("timeout", Some(DEFAULT_TIMEOUT));
     if timeout.is_zero() {
         r.add_error("timeout", "must be above zero");
@@ -115,7 +115,7 @@
         targets: targets?,
         kind: kind?,
         timeout,
-        target_latency: r.duration("target_latency", Some(DEFAULT_TARGET)),
+        target_latency: r.duration("target_latency", Some(DEFAULT_TARGET_LATENCY)),
         longest_gap: r.duration("longest_gap", Some(DEFAULT_LONGEST_GAP)),
         max_attempts: r.number("max_attempts", Some(1), 1, MAX_ATTEMPTS) as u32,
         public: r.flag("public", Some(false)),
@@ -124,7 +124,7 @@
     Some(spec)
 }
 
-fn kind(r: &mut SectionReader<'_>) -> Option<RouteKind> {
+fn read_kind(r: &mut SectionReader<'_>) -> Option<RouteKind> {
     match r.raw("kind") {
         Some("repeatable") => Some(RouteKind::Repeatable),
         Some("single") => Some(RouteKind::Single),
@@ -138,12 +138,12 @@
     }
 }
 
-fn targets(r: &mut SectionReader<'_>) -> Option<Vec<RouteTarget>> {
+fn read_targets(r: &mut SectionReader<'_>) -> Option<Vec<RouteTarget>> {
     let list = r.text("services");
     let mut targets = Vec::new();
     for item in list.split(',').map(str::trim).filter(|item| !item.is_empty()) {
         let target = item.rsplit_once(':').and_then(|(service, weight)| {
-            let weight = weight.parse().ok().filter(|weight| *weight <= MAX_WEIGHT)?;
+            let weight = weight.parse().ok().filter(|weight| *weight <= MAX_SERVICE_WEIGHT)?;
             Some(RouteTarget { service: service.to_owned(), weight })
         });
         match target {
--- a/crates/core/src/config/route_table.rs
+++ b/crates/core/src/config/route_table.rs
@@ -1,4 +1,4 @@
-//! Routes by host and start of the path.
+//! Lookup of routes by host and longest path prefix.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -7,11 +7,8 @@
 
 use super::route::{NamedRoute, RouteSpec};
 
-/// Routes by host and start of the path. Finding, adding and removing one takes the same time
-/// whatever the number of routes: callers wait for the first, and everything on a daemon's thread
-/// for the others. Comparing each route with all before it, a configuration of 4,250 routes of one
-/// host takes 39.9 ms to check and one of 18,000 takes 1,586 ms; so it takes 9.0 and 53 ms
-/// (`trayswitch-lab configurations`).
+/// Routes by host and path prefix. Lookup, insertion and removal take constant time in the number of
+/// routes.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RouteTable {
     by_host: HashMap<String, HostRoutes>,
@@ -22,12 +19,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 struct HostRoutes {
     by_prefix: HashMap<Arc<str>, NamedRoute>,
-    /// How many prefixes have so many slashes.
+    /// Number of prefixes by depth, to look up only depths that exist.
     depths: BTreeMap<usize, usize>,
 }
 
 impl RouteTable {
-    /// The route of a request: of those of the host, the one with the longest prefix.
+    /// Finds the route of `host` with the longest prefix of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&NamedRoute> {
         self.by_host.get(host)?.find(path)
     }
@@ -37,12 +34,12 @@
         self.by_name.len()
     }
 
-    /// Whether there are none.
+    /// Whether the table has no routes.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// Adds a route; fails with the name of one that has the same host and prefix.
+    /// Adds a route; fails with the name of an existing route with the same host and prefix.
     pub(super) fn insert(&mut self, name: &str, spec: RouteSpec) -> Result<(), Arc<str>> {
         let name: Arc<str> = name.into();
         let spec = Arc::new(spec);
@@ -57,7 +54,7 @@
         Ok(())
     }
 
-    /// Removes a route, if there is one of this name.
+    /// Removes a route if it exists.
     pub(super) fn remove(&mut self, name: &str) {
         let Some(spec) = self.by_name.remove(name) else { return };
         let Some(routes) = self.by_host.get_mut(&spec.host) else { return };
@@ -71,7 +68,7 @@
 impl HostRoutes {
     fn find(&self, path: &str) -> Option<&NamedRoute> {
         let (deepest, _) = self.depths.last_key_value()?;
-        // Every prefix ends with a slash.
+        // All prefixes end with a slash, so only these positions can end a matching prefix.
         let ends: Vec<usize> =
             path.match_indices('/').map(|(at, _)| at + 1).take(*deepest).collect();
         let ends = self.depths.keys().rev().filter_map(|depth| ends.get(depth - 1));
@@ -90,7 +87,7 @@
     }
 }
 
-/// Number of slashes of a prefix; it begins and ends with one.
+/// Depth of a prefix: the number of its slashes.
 fn depth(prefix: &str) -> usize {
     prefix.matches('/').count()
 }
--- a/crates/core/src/config/schema.rs
+++ b/crates/core/src/config/schema.rs
@@ -3,60 +3,60 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use super::{
-    check::Check,
     document::{ConfigErrors, Delta, Document},
     endpoint::Endpoints,
     limits::CallerLimits,
     reader::SectionReader,
-    route::{self, ROUTE},
+    route::{self, ROUTE_PREFIX},
     route_table::RouteTable,
     service::ServiceSpec,
+    validator::Validator,
     workspace::{self, WorkspaceSpec, key_digest},
 };
 
-/// Name of the section that every file must have.
+/// Name of the required section with the settings of the whole deployment.
 pub const DEPLOYMENT_SECTION: &str = "deployment";
 
-/// Name of the section that bounds what callers may send.
+/// Name of the section with the limits on requests from callers.
 pub const LIMITS_SECTION: &str = "limits";
 
-/// Name of the section in which an adapter keeps the layout of a file of another form, and of the
-/// family of further ones.
+/// Name of the section, and of the section family, in which an adapter stores the layout of a file
+/// that it translated from another format. It has no effect on the configuration.
 pub const LAYOUT_SECTION: &str = "layout";
 
-/// Start of the names of sections of workspaces.
-pub(super) const WORKSPACE: &str = "workspace ";
+/// Prefix of the section names of workspaces.
+pub(super) const WORKSPACE_PREFIX: &str = "workspace ";
 
-/// What the deployment as a whole asks for.
+/// Settings of the whole deployment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Deployment {
     /// Name of the deployment.
     pub name: String,
-    /// The version that this file makes.
+    /// Version of the configuration.
     pub version: u64,
-    /// Weight of stall time in decisions.
+    /// Weight of stall time in scheduling decisions.
     pub stall_weight: u64,
-    /// Weight of tail time between tokens in decisions.
+    /// Weight of tail inter-token latency in scheduling decisions.
     pub gap_weight: u64,
 }
 
-/// A priority tier; a lower rank is served first.
+/// Settings of a priority tier.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TierSpec {
-    /// Rank; 1 is served first.
+    /// Priority; lower ranks are served first, starting at 1.
     pub rank: u64,
 }
 
-/// A kind of request.
+/// Settings of a kind of request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KindSpec {
-    /// Weight in the service measure.
+    /// Weight of a request when the received service of workspaces is compared.
     pub weight: u64,
-    /// Longest time in the queue before the request is given up.
+    /// Maximum time in the queue before the request is rejected.
     pub max_wait: Duration,
 }
 
-/// The whole configuration, checked.
+/// A validated configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Config {
     /// Deployment-wide settings.
@@ -71,18 +71,18 @@
     pub workspaces: BTreeMap<Arc<str>, Arc<WorkspaceSpec>>,
     /// Default kind of each model.
     pub models: BTreeMap<String, String>,
-    /// Plain services by name.
+    /// Services by name.
     pub services: BTreeMap<String, ServiceSpec>,
     /// Endpoints by name.
     pub endpoints: Endpoints,
     /// Routes by host and path.
     pub routes: RouteTable,
-    /// What callers may send.
+    /// Limits on requests from callers.
     pub limits: CallerLimits,
     pub(super) workspaces_by_key: BTreeMap<Arc<str>, Arc<str>>,
 }
 
-/// A document without errors, cheap to clone.
+/// A validated document; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct CheckedDocument {
     version: u64,
@@ -90,82 +90,80 @@
 }
 
 impl CheckedDocument {
-    /// Checks a document; on failure reports every fault.
+    /// Validates a document; on failure returns all errors.
     pub fn new(file: &str, document: Document) -> Result<CheckedDocument, ConfigErrors> {
         let version = Config::check(file, &document)?.deployment.version;
         Ok(CheckedDocument { version, document: Arc::new(document) })
     }
 
-    /// The version that it makes.
+    /// Version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The document.
+    /// The validated document.
     pub fn document(&self) -> &Document {
         &self.document
     }
 }
 
 impl Config {
-    /// Checks a whole document; on failure reports every fault.
+    /// Validates a document; on failure returns all errors.
     pub fn check(file: &str, document: &Document) -> Result<Config, ConfigErrors> {
-        let mut check = Check::new(file, document);
-        let config = check.run();
-        check.end(config)
+        let mut validator = Validator::new(file, document);
+        let config = validator.validate();
+        validator.finish(config)
     }
 
-    /// The configuration after a delta that turned its document into `document`. Checks only
-    /// what the delta touches where that is enough, and gives what [`Config::check`] gives. With
-    /// 4,250 routes in force, a daemon takes one more in within 2.6 ms, and 40.9 ms if all are
-    /// checked anew (`trayswitch-lab configurations`); a VM of 0.12 cores answers nobody for eight
-    /// times as long.
+    /// The configuration of `document`, which results from applying `delta` to the document of this
+    /// configuration. Returns the same as [`Config::check`], but validates only the sections in the
+    /// delta if no other section can depend on them.
     pub fn updated(
         &self,
         file: &str,
         document: &Document,
         delta: &Delta,
     ) -> Result<Config, ConfigErrors> {
-        if !delta.section_names().all(|name| is_read_alone(name)) {
+        if !delta.section_names().all(|name| is_independent(name)) {
             return Config::check(file, document);
         }
-        let mut check = Check::new(file, document);
+        let mut validator = Validator::new(file, document);
         let mut config = self.clone();
-        config.deployment = check.deployment();
-        // All that go are gone before any comes: a route may have the prefix of a former one.
+        config.deployment = validator.read_deployment();
+        // Remove before adding: a new route may have the prefix of a removed one.
         for name in delta.section_names() {
-            config.forget(name);
+            config.remove_section(name);
         }
         for (full_name, section) in &delta.changed {
-            let mut r = SectionReader::new(file, full_name, section.keys(), &mut check.errors);
-            if let Some(name) = full_name.strip_prefix(WORKSPACE) {
+            let mut r = SectionReader::new(file, full_name, section.keys(), &mut validator.errors);
+            if let Some(name) = full_name.strip_prefix(WORKSPACE_PREFIX) {
                 let spec = Arc::new(workspace::read(&mut r));
                 r.finish();
-                check.workspace(&config, name, &spec);
-                check.index_key(&mut config.workspaces_by_key, name, &spec);
+                validator.check_workspace(&config, name, &spec);
+                validator.index_key(&mut config.workspaces_by_key, name, &spec);
                 config.workspaces.insert(name.into(), spec);
-            } else if let Some(name) = full_name.strip_prefix(ROUTE) {
+            } else if let Some(name) = full_name.strip_prefix(ROUTE_PREFIX) {
                 let spec = route::read(&mut r);
                 r.finish();
-                check.route(&mut config, name, spec);
+                validator.add_route(&mut config, name, spec);
             }
         }
-        check.end(config)
+        validator.finish(config)
     }
 
-    /// Forgets what a section has set, if it is read alone.
-    fn forget(&mut self, full_name: &str) {
-        if let Some(name) = full_name.strip_prefix(WORKSPACE) {
+    /// Removes the settings of a workspace or route section; ignores other sections.
+    fn remove_section(&mut self, full_name: &str) {
+        if let Some(name) = full_name.strip_prefix(WORKSPACE_PREFIX) {
             let Some(old) = self.workspaces.remove(name) else { return };
             for key in &old.keys_sha256 {
                 self.workspaces_by_key.remove(key.as_str());
             }
-        } else if let Some(name) = full_name.strip_prefix(ROUTE) {
+        } else if let Some(name) = full_name.strip_prefix(ROUTE_PREFIX) {
             self.routes.remove(name);
         }
     }
 
-    /// Parses and checks the text of a file.
+    /// Parses and validates the text of a file.
     pub fn parse(file: &str, text: &str) -> Result<Config, ConfigErrors> {
         Config::check(file, &Document::parse(file, text)?)
     }
@@ -176,12 +174,12 @@
     }
 }
 
-/// Whether a section can be read anew without reading others: nothing refers to a workspace or a
-/// route, and a layout sets nothing.
-fn is_read_alone(full_name: &str) -> bool {
+/// Whether a section can change without validating other sections: none refers to a workspace, a
+/// route or the deployment, and a layout has no effect.
+fn is_independent(full_name: &str) -> bool {
     let family = full_name.split(' ').next();
-    full_name.starts_with(WORKSPACE)
-        || full_name.starts_with(ROUTE)
+    full_name.starts_with(WORKSPACE_PREFIX)
+        || full_name.starts_with(ROUTE_PREFIX)
         || full_name == DEPLOYMENT_SECTION
         || family == Some(LAYOUT_SECTION)
 }
--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -1,70 +1,69 @@
-//! Services: plain ones with named calls, and groups of model engines.
+//! Services: plain services with named calls, and groups of model engines.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use super::reader::{MAX_COUNT, MAX_TOKENS, SectionReader};
 
-/// Time of one attempt, where a file does not say.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 const DEFAULT_MAX_CONNECTIONS: u64 = 256;
-/// Bytes of a token in an engine's memory, where a file does not say: a 32 B model in 8 bits.
+/// KV cache size of one token for a model of 32 billion parameters in 8 bits.
 const DEFAULT_TOKEN_BYTES: u64 = 131_072;
 
-/// One call of a plain service.
+/// Settings of a call of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallSpec {
-    /// Kind of request it counts as.
+    /// Kind of the requests.
     pub kind: String,
-    /// Whether it may run more than once.
+    /// Whether the call is idempotent and may be retried.
     pub repeatable: bool,
-    /// Time allowed for one attempt.
+    /// Timeout of one attempt.
     pub timeout: Duration,
 }
 
-/// What endpoints bear while they are cold, as after a start.
+/// Request pacing of endpoints that are cold after a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ColdStart {
-    /// How long they are cold after a start.
+    /// Time that an endpoint stays cold after a start.
     pub duration: Duration,
-    /// Least mean time between two requests, from all callers together.
+    /// Minimum mean time between two requests to a cold endpoint, over all callers.
     pub min_interval: Duration,
 }
 
-/// A service.
+/// Settings of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceSpec {
-    /// Its calls by name.
+    /// Calls by name.
     pub calls: BTreeMap<String, CallSpec>,
-    /// Most connections that one of its endpoints takes from all callers together.
+    /// Maximum number of connections to one endpoint, over all callers.
     pub max_connections: u64,
-    /// Path at which its endpoints tell whether they are well.
+    /// Path of the health check of its endpoints.
     pub health_path: Option<String>,
-    /// What its endpoints bear while they are cold; nothing where a start makes no difference.
+    /// Request pacing of cold endpoints; `None` if endpoints need no warm-up.
     pub cold_start: Option<ColdStart>,
-    /// What its endpoints can do if they are model engines.
+    /// Capacity and capabilities of its engines; `None` for plain services.
     pub engine: Option<EngineSpec>,
 }
 
-/// The engines of a service.
+/// Capacity and capabilities of each engine of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// Most requests that run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u64,
-    /// Memory for streams, in tokens.
+    /// KV cache capacity in tokens.
     pub kv_tokens: u64,
-    /// Bytes of one token in memory, for the time that a copy takes.
+    /// KV cache size of one token, in bytes; determines how long a copy takes.
     pub token_bytes: u64,
     /// Bandwidth for copies between engines, in Mbit/s.
     pub link_mbps: u64,
-    /// Whether a running generation can be moved to another engine.
+    /// Whether a running generation can be relocated to another engine.
     pub supports_relocation: bool,
-    /// Whether an engine can keep a copy of a generation that runs at another.
+    /// Whether an engine can hold a backup copy of a generation that runs on another engine.
     pub supports_backups: bool,
-    /// The longest time for which an engine keeps a place; none where engines keep no places.
+    /// Maximum lifetime of a slot reservation; `None` if engines do not support reservations.
     pub longest_reservation: Option<Duration>,
 }
 
-/// Reads a service.
+/// Reads a `[service NAME]` section.
 pub(super) fn read(r: &mut SectionReader<'_>) -> ServiceSpec {
     let max_connections = r.number("max_connections", Some(DEFAULT_MAX_CONNECTIONS), 1, MAX_COUNT);
     let health_path = r.raw("health_path").map(str::to_owned);
@@ -87,7 +86,7 @@
     ServiceSpec { calls: BTreeMap::new(), max_connections, health_path, cold_start, engine }
 }
 
-/// Reads a call.
+/// Reads a `[call SERVICE/CALL]` section.
 pub(super) fn read_call(r: &mut SectionReader<'_>) -> CallSpec {
     CallSpec {
         kind: r.text("kind"),
--- a/crates/core/src/config/tests.rs
+++ b/crates/core/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the configuration file.
+//! Tests of parsing, validation and deltas of configuration files.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 }
 
 #[gtest]
-fn a_valid_file_is_read_whole() {
+fn valid_file_parses() {
     let config = Config::parse("site.ini", &valid_file()).unwrap();
 
     expect_that!(config.deployment.version, eq(3));
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn every_fault_is_reported_with_file_section_and_key() {
+fn all_errors_name_file_section_and_key() {
     let text = valid_file()
         .replace("version = 3", "version = zero")
         .replace("tier = gold", "tier = silver")
@@ -40,7 +40,7 @@
     let errors = Config::parse("site.ini", &text).unwrap_err().0;
 
     let places: Vec<String> =
-        errors.iter().map(|f| format!("{} [{}] {}", f.file, f.section, f.key)).collect();
+        errors.iter().map(|e| format!("{} [{}] {}", e.file, e.section, e.key)).collect();
     expect_that!(
         places,
         unordered_elements_are![
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn a_repeated_section_or_key_is_a_fault() {
+fn duplicate_sections_and_keys_are_rejected() {
     let text = valid_file() + "[tier gold]\nrank = 2\nrank = 3\n";
 
     let errors = Config::parse("site.ini", &text).unwrap_err().0;
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn two_workspaces_with_one_key_are_a_fault() {
+fn duplicate_workspace_key_is_rejected() {
     let digest = key_digest("secret");
     let text = valid_file() + &format!("[workspace twin]\ntier = gold\nkey_sha256 = {digest}\n");
 
@@ -71,8 +71,6 @@
     expect_that!(errors.to_string(), contains_substring("has the same key"));
 }
 
-// No backslash: the library reads one at the end of a line as a continuation,
-// so that no parsed document can hold it.
 fn document(sections: BTreeMap<String, Section>) -> Document {
     let mut document = Document::default();
     for (name, keys) in sections {
@@ -81,6 +79,8 @@
     document
 }
 
+// Without backslashes: the INI parser reads one at the end of a line as a continuation, so that no
+// parsed document contains it.
 fn documents() -> impl Strategy<Value = Document> {
     let section =
         proptest::collection::btree_map("[a-z_]{1,6}", "[a-zA-Z0-9 .:;#=\"/-]{0,12}", 0..4);
@@ -96,9 +96,9 @@
     )
 }
 
-/// Files that differ in their workspaces and routes, some with unknown tiers, services or shared
-/// keys and prefixes.
-fn changing_files() -> impl Strategy<Value = String> {
+/// Files that differ in workspaces, routes, layout and tiers. Some are invalid: unknown tiers or
+/// services, duplicate keys or prefixes.
+fn files() -> impl Strategy<Value = String> {
     let workspace = (0u8..4, 0u8..3, 0u8..3);
     let route = (0u8..2, 0u8..4, 0u8..3);
     let other_tier = any::<bool>();
@@ -130,8 +130,8 @@
     })
 }
 
-/// A file with routes of one host to one service, by name and prefix.
-fn routes(routes: &[(&str, &str)]) -> Config {
+/// Configuration with one route per name and prefix, all of one host.
+fn config_with_routes(routes: &[(&str, &str)]) -> Config {
     let mut text = valid_file();
     for (name, prefix) in routes {
         text += &format!(
@@ -143,8 +143,8 @@
 }
 
 #[gtest]
-fn the_longest_prefix_that_begins_a_path_is_its_route() {
-    let config = routes(&[("all", "/"), ("a", "/a/"), ("abc", "/a/b/c/")]);
+fn longest_matching_prefix_wins() {
+    let config = config_with_routes(&[("all", "/"), ("a", "/a/"), ("abc", "/a/b/c/")]);
     let find = |path: &str| config.routes.find("h", path).map(|route| &*route.name);
 
     expect_that!(find("/"), some(eq("all")));
@@ -158,7 +158,7 @@
 }
 
 #[gtest]
-fn two_routes_of_one_host_and_prefix_are_a_fault() {
+fn duplicate_host_and_prefix_is_rejected() {
     let route = |name: &str| {
         format!(
             "[route {name}]\nhost = h\npath_prefix = /a/\nservices = booking-desk:1\n\
@@ -177,7 +177,7 @@
     #![proptest_config(crate::testing::fixed_seed(256))]
 
     #[test]
-    fn a_delta_turns_the_older_document_into_the_newer(a in documents(), b in documents()) {
+    fn applying_a_delta_and_its_undo_round_trips(a in documents(), b in documents()) {
         let mut patched = a.clone();
         let undo = patched.apply(&a.delta_to(&b));
         prop_assert_eq!(patched.content_hash(), b.content_hash());
@@ -187,9 +187,9 @@
     }
 
     #[test]
-    fn an_updated_configuration_is_the_one_checked_anew(
-        before in changing_files(),
-        after in changing_files(),
+    fn incremental_update_equals_full_check(
+        before in files(),
+        after in files(),
     ) {
         let parse = |text: &str| Document::parse("f", text).unwrap();
         let (before, after) = (parse(&before), parse(&after));
@@ -204,13 +204,13 @@
     }
 
     #[test]
-    fn canonical_text_parses_to_the_same_document(a in documents()) {
+    fn canonical_text_round_trips(a in documents()) {
         let parsed = Document::parse("f", &a.to_ini()).unwrap();
         prop_assert_eq!(parsed, a);
     }
 
     #[test]
-    fn any_text_is_parsed_or_refused_without_panic(text in "\\PC{0,200}") {
+    fn arbitrary_text_does_not_panic(text in "\\PC{0,200}") {
         let _ = Config::parse("f", &text);
     }
 }
--- a/crates/core/src/config/check.rs
+++ b/crates/core/src/config/validator.rs
@@ -1,4 +1,4 @@
-//! Reads the sections of a document and checks that what they refer to is there.
+//! Validation of a document: typed sections, references between sections, unique keys and routes.
 
 use std::{collections::BTreeMap, ops::Bound, sync::Arc, time::Duration};
 
@@ -16,69 +16,68 @@
     workspace::{self, WorkspaceSpec},
 };
 
-/// Longest time in the queue, where a file does not say.
 const DEFAULT_MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// Reads a document and collects its errors.
-pub(super) struct Check<'a> {
+/// Builds a [`Config`] from a document and collects all errors on the way.
+pub(super) struct Validator<'a> {
     pub(super) file: &'a str,
     pub(super) document: &'a Document,
     pub(super) errors: Vec<ConfigError>,
 }
 
-impl<'a> Check<'a> {
-    pub(super) fn new(file: &'a str, document: &'a Document) -> Check<'a> {
-        Check { file, document, errors: Vec::new() }
+impl<'a> Validator<'a> {
+    pub(super) fn new(file: &'a str, document: &'a Document) -> Validator<'a> {
+        Validator { file, document, errors: Vec::new() }
     }
 
-    /// What was read, unless there were errors.
-    pub(super) fn end(self, config: Config) -> Result<Config, ConfigErrors> {
+    /// Returns `config`, or the collected errors if there are any.
+    pub(super) fn finish(self, config: Config) -> Result<Config, ConfigErrors> {
         if self.errors.is_empty() { Ok(config) } else { Err(ConfigErrors(self.errors)) }
     }
 
-    /// Reads everything.
-    pub(super) fn run(&mut self) -> Config {
-        self.unknown_sections();
+    /// Reads and checks all sections. The result is valid only if no errors were collected.
+    pub(super) fn validate(&mut self) -> Config {
+        self.check_section_names();
         let mut config = Config {
-            deployment: self.deployment(),
-            halls: self.each("hall", |r| r.text("region")),
-            tiers: self.each("tier", |r| TierSpec { rank: r.number("rank", None, 1, 100) }),
-            kinds: self.each("kind", kind),
+            deployment: self.read_deployment(),
+            halls: self.read_family("hall", |r| r.text("region")),
+            tiers: self.read_family("tier", |r| TierSpec { rank: r.number("rank", None, 1, 100) }),
+            kinds: self.read_family("kind", read_kind),
             workspaces: self
-                .each("workspace", workspace::read)
+                .read_family("workspace", workspace::read)
                 .into_iter()
                 .map(|(name, spec)| (name.into(), Arc::new(spec)))
                 .collect(),
-            models: self.each("model", |r| r.text("kind")),
+            models: self.read_family("model", |r| r.text("kind")),
             services: BTreeMap::new(),
             endpoints: BTreeMap::new(),
             routes: RouteTable::default(),
-            limits: self.limits(),
+            limits: self.read_limits(),
             workspaces_by_key: BTreeMap::new(),
         };
-        self.services(&mut config);
-        self.routes(&mut config);
-        let endpoints = self.each("endpoint", endpoint::read);
+        self.read_services(&mut config);
+        self.read_routes(&mut config);
+        let endpoints = self.read_family("endpoint", endpoint::read);
         config.endpoints =
             endpoints.into_iter().filter_map(|(name, spec)| Some((name, spec?))).collect();
-        self.references(&config);
+        self.check_references(&config);
         self.index_keys(&mut config);
         config
     }
 
-    fn unknown_sections(&mut self) {
-        const KNOWN: [&str; 9] =
+    fn check_section_names(&mut self) {
+        const FAMILIES: [&str; 9] =
             ["hall", "tier", "kind", "workspace", "model", "service", "call", "route", "endpoint"];
-        // An adapter's own; it has no part in messages to operators.
-        const ADAPTERS: &str = LAYOUT_SECTION;
-        const SINGLE: [&str; 3] = [DEPLOYMENT_SECTION, LIMITS_SECTION, LAYOUT_SECTION];
+        // Written by adapters, not by operators, so error messages do not list it.
+        const INTERNAL_FAMILY: &str = LAYOUT_SECTION;
+        const SINGLE_SECTIONS: [&str; 3] = [DEPLOYMENT_SECTION, LIMITS_SECTION, LAYOUT_SECTION];
         for name in self.document.sections().keys() {
             let known = match name.split_once(' ') {
-                Some((family, _)) => KNOWN.contains(&family) || family == ADAPTERS,
-                None => SINGLE.contains(&&**name),
+                Some((family, _)) => FAMILIES.contains(&family) || family == INTERNAL_FAMILY,
+                None => SINGLE_SECTIONS.contains(&&**name),
             };
             if !known {
-                let families = KNOWN.join(" NAME], [");
+                let families = FAMILIES.join(" NAME], [");
                 self.add_error(
                     name,
                     "",
@@ -90,12 +89,12 @@
         }
     }
 
-    pub(super) fn deployment(&mut self) -> Deployment {
-        let Some(section) = self.document.section(DEPLOYMENT_SECTION) else {
+    pub(super) fn read_deployment(&mut self) -> Deployment {
+        let Some(keys) = self.document.section(DEPLOYMENT_SECTION) else {
             self.add_error(DEPLOYMENT_SECTION, "", "this section is required");
             return Deployment { name: String::new(), version: 0, stall_weight: 1, gap_weight: 1 };
         };
-        let mut r = SectionReader::new(self.file, DEPLOYMENT_SECTION, section, &mut self.errors);
+        let mut r = SectionReader::new(self.file, DEPLOYMENT_SECTION, keys, &mut self.errors);
         let deployment = Deployment {
             name: r.text("name"),
             version: r.number("version", None, 1, u64::MAX),
@@ -106,7 +105,8 @@
         deployment
     }
 
-    fn each<T>(
+    /// Reads all sections `[FAMILY NAME]` and returns their specs by name.
+    fn read_family<T>(
         &mut self,
         family: &str,
         read: impl Fn(&mut SectionReader<'_>) -> T,
@@ -125,23 +125,23 @@
         specs
     }
 
-    fn services(&mut self, config: &mut Config) {
-        config.services = self.each("service", service::read);
-        for (name, spec) in self.each("call", service::read_call) {
+    fn read_services(&mut self, config: &mut Config) {
+        config.services = self.read_family("service", service::read);
+        for (name, spec) in self.read_family("call", service::read_call) {
             let section = format!("call {name}");
             let Some((service, call)) = name.split_once('/') else {
                 self.add_error(&section, "", "expected [call SERVICE/CALL]");
                 continue;
             };
             let Some(service) = config.services.get_mut(service) else {
-                self.add_error(&section, "", format!("there is no [service {service}]"));
+                self.add_error(&section, "", format!("[service {service}] does not exist"));
                 continue;
             };
             service.calls.insert(call.to_owned(), spec);
         }
     }
 
-    fn limits(&mut self) -> CallerLimits {
+    fn read_limits(&mut self) -> CallerLimits {
         let Some(keys) = self.document.section(LIMITS_SECTION) else { return Default::default() };
         let mut r = SectionReader::new(self.file, LIMITS_SECTION, keys, &mut self.errors);
         let limits = limits::read(&mut r);
@@ -149,22 +149,22 @@
         limits
     }
 
-    fn routes(&mut self, config: &mut Config) {
-        for (name, spec) in self.each("route", route::read) {
-            self.route(config, &name, spec);
+    fn read_routes(&mut self, config: &mut Config) {
+        for (name, spec) in self.read_family("route", route::read) {
+            self.add_route(config, &name, spec);
         }
     }
 
-    /// Adds a route that was read without a fault.
-    pub(super) fn route(&mut self, config: &mut Config, name: &str, spec: Option<RouteSpec>) {
+    /// Checks the references of a route and adds it; `None` is a route that failed to parse.
+    pub(super) fn add_route(&mut self, config: &mut Config, name: &str, spec: Option<RouteSpec>) {
         let Some(spec) = spec else { return };
         let section = format!("route {name}");
         for target in &spec.targets {
-            let known = config.services.contains_key(&target.service);
-            self.reference(known, &section, "services", "service", &target.service);
+            let exists = config.services.contains_key(&target.service);
+            self.check_reference(exists, &section, "services", "service", &target.service);
         }
         if let Some(tier) = &spec.tier {
-            self.reference(config.tiers.contains_key(tier), &section, "tier", "tier", tier);
+            self.check_reference(config.tiers.contains_key(tier), &section, "tier", "tier", tier);
         }
         if let Err(other) = config.routes.insert(name, spec) {
             let message = format!("[route {other}] has the same host and path_prefix");
@@ -172,49 +172,57 @@
         }
     }
 
-    fn references(&mut self, config: &Config) {
+    fn check_references(&mut self, config: &Config) {
         for (name, spec) in &config.workspaces {
-            self.workspace(config, name, spec);
+            self.check_workspace(config, name, spec);
         }
         for (name, kind) in &config.models {
-            let known = config.kinds.contains_key(kind);
-            self.reference(known, &format!("model {name}"), "kind", "kind", kind);
+            let exists = config.kinds.contains_key(kind);
+            self.check_reference(exists, &format!("model {name}"), "kind", "kind", kind);
         }
         for (service, spec) in &config.services {
             for (call, spec) in &spec.calls {
-                let known = config.kinds.contains_key(&spec.kind);
+                let exists = config.kinds.contains_key(&spec.kind);
                 let section = format!("call {service}/{call}");
-                self.reference(known, &section, "kind", "kind", &spec.kind);
+                self.check_reference(exists, &section, "kind", "kind", &spec.kind);
             }
         }
         for (name, spec) in &config.endpoints {
             let section = format!("endpoint {name}");
-            self.reference(
+            self.check_reference(
                 config.halls.contains_key(&spec.hall),
                 &section,
                 "hall",
                 "hall",
                 &spec.hall,
             );
-            let (known, family) = match &spec.target {
+            let (exists, family) = match &spec.target {
                 EndpointTarget::Model(model) => (config.models.contains_key(model), "model"),
                 EndpointTarget::Service(service) => {
                     (config.services.contains_key(service), "service")
                 }
             };
-            self.reference(known, &section, family, family, spec.target.name());
+            self.check_reference(exists, &section, family, family, spec.target.name());
         }
     }
 
-    fn reference(&mut self, known: bool, section: &str, key: &str, family: &str, name: &str) {
-        if !known && !name.is_empty() {
-            self.add_error(section, key, format!("there is no [{family} {name}]"));
+    /// Adds an error if a named section does not exist. An empty name is already reported as missing.
+    fn check_reference(
+        &mut self,
+        exists: bool,
+        section: &str,
+        key: &str,
+        family: &str,
+        name: &str,
+    ) {
+        if !exists && !name.is_empty() {
+            self.add_error(section, key, format!("[{family} {name}] does not exist"));
         }
     }
 
-    pub(super) fn workspace(&mut self, config: &Config, name: &str, spec: &WorkspaceSpec) {
-        let known = config.tiers.contains_key(&spec.tier);
-        self.reference(known, &format!("workspace {name}"), "tier", "tier", &spec.tier);
+    pub(super) fn check_workspace(&mut self, config: &Config, name: &str, spec: &WorkspaceSpec) {
+        let exists = config.tiers.contains_key(&spec.tier);
+        self.check_reference(exists, &format!("workspace {name}"), "tier", "tier", &spec.tier);
     }
 
     fn index_keys(&mut self, config: &mut Config) {
@@ -224,6 +232,7 @@
         }
     }
 
+    /// Indexes a workspace by its key digests, which must be unique among workspaces.
     pub(super) fn index_key(
         &mut self,
         by_key: &mut BTreeMap<Arc<str>, Arc<str>>,
@@ -253,7 +262,7 @@
     }
 }
 
-fn kind(r: &mut SectionReader<'_>) -> KindSpec {
+fn read_kind(r: &mut SectionReader<'_>) -> KindSpec {
     KindSpec {
         weight: r.number("weight", Some(1), 1, MAX_WEIGHT),
         max_wait: r.duration("max_wait", Some(DEFAULT_MAX_WAIT)),
--- a/crates/core/src/config/workspace.rs
+++ b/crates/core/src/config/workspace.rs
@@ -1,39 +1,39 @@
-//! Workspaces: the customers, their keys and their shares.
+//! Workspaces: customers with their keys, fair shares and concurrency limits.
 
 use sha2::{Digest, Sha256};
 
 use super::reader::{MAX_COUNT, MAX_WEIGHT, SectionReader};
 use crate::units::Hex;
 
-/// Hexadecimal digits of a SHA-256.
+/// Length of a SHA-256 in hexadecimal digits.
 const KEY_HEX_DIGITS: usize = 64;
 const DEFAULT_MAX_RUNNING: u64 = 64;
 const DEFAULT_MAX_WAITING: u64 = 256;
 
-/// A customer.
+/// Settings of a workspace.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkspaceSpec {
     /// Name of its tier.
     pub tier: String,
-    /// SHA-256 of each of its keys, in hexadecimal.
+    /// SHA-256 of each key, in lower-case hexadecimal.
     pub keys_sha256: Vec<String>,
-    /// Fair share relative to others in the tier.
+    /// Fair share, relative to the other workspaces of the tier.
     pub share: u64,
-    /// Most requests running at once.
+    /// Maximum number of running requests.
     pub max_running: u64,
-    /// Most requests waiting at once.
+    /// Maximum number of waiting requests.
     pub max_waiting: u64,
 }
 
-/// SHA-256 of a workspace key in the form that files carry it.
+/// SHA-256 of a workspace key in the format of the configuration file.
 pub fn key_digest(key: &str) -> String {
     Hex(&Sha256::digest(key.as_bytes())).to_string()
 }
 
-/// Reads a workspace.
+/// Reads a `[workspace NAME]` section.
 pub(super) fn read(r: &mut SectionReader<'_>) -> WorkspaceSpec {
     let tier = r.text("tier");
-    // A workspace may have lost all of its keys.
+    // The list may be empty: all keys of a workspace can be revoked.
     let keys = r.raw("key_sha256").unwrap_or_else(|| {
         r.add_error("key_sha256", "this key is required");
         ""
@@ -45,7 +45,7 @@
     };
     if !keys_sha256.iter().all(is_digest) {
         let expected = "expected 64 lower-case hexadecimal digits for each key, separated by \
-                        commas; `trayswitch config key` makes them";
+                        commas; create them with `trayswitch config key`";
         r.add_error("key_sha256", expected);
     }
     WorkspaceSpec {
