--- a/crates/core/src/config/document.rs
+++ b/crates/core/src/config/document.rs
@@ -54,7 +54,7 @@
 
 impl std::error::Error for ConfigErrors {}
 
-/// The keys and values of one section.
+/// Keys and values of a section.
 pub type Section = BTreeMap<String, String>;
 
 /// A section with the SHA-256 of its name and content; immutable, so that documents can share it.
@@ -80,13 +80,13 @@
         HashedSection { keys, hash: hasher.finalize().into() }
     }
 
-    /// The keys and values.
+    /// Keys and values of the section.
     pub fn keys(&self) -> &Section {
         &self.keys
     }
 }
 
-/// SHA-256 over the canonical form of a [`Document`].
+/// SHA-256 of the content of a [`Document`]; see [`Document::content_hash`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, PartialOrd, Ord)]
 pub struct ContentHash(pub [u8; 32]);
 
@@ -149,7 +149,7 @@
         &self.sections
     }
 
-    /// The keys of one section.
+    /// Keys and values of a section, if it exists.
     pub fn section(&self, name: &str) -> Option<&Section> {
         self.sections.get(name).map(|section| section.keys())
     }
--- a/crates/core/src/config/route_table.rs
+++ b/crates/core/src/config/route_table.rs
@@ -7,8 +7,8 @@
 
 use super::route::{NamedRoute, RouteSpec};
 
-/// Routes by host and path prefix. Lookup, insertion and removal take constant time in the number of
-/// routes.
+/// Routes by host and path prefix. The cost of a lookup, an insertion or a removal does not grow
+/// with the number of routes.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RouteTable {
     by_host: HashMap<String, HostRoutes>,
--- a/crates/core/src/config/schema.rs
+++ b/crates/core/src/config/schema.rs
@@ -1,4 +1,4 @@
-//! The typed configuration.
+//! The validated configuration and its incremental update.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
--- a/crates/core/src/config/tests.rs
+++ b/crates/core/src/config/tests.rs
@@ -39,10 +39,10 @@
 
     let errors = Config::parse("site.ini", &text).unwrap_err().0;
 
-    let places: Vec<String> =
+    let locations: Vec<String> =
         errors.iter().map(|e| format!("{} [{}] {}", e.file, e.section, e.key)).collect();
     expect_that!(
-        places,
+        locations,
         unordered_elements_are![
             eq("site.ini [deployment] version"),
             eq("site.ini [workspace studio-1] tier"),
--- a/crates/core/src/config/validator.rs
+++ b/crates/core/src/config/validator.rs
@@ -82,7 +82,8 @@
                     name,
                     "",
                     format!(
-                        "unknown section; expected [{DEPLOYMENT_SECTION}], [{LIMITS_SECTION}], [{families} NAME]"
+                        "unknown section; expected [{DEPLOYMENT_SECTION}], [{LIMITS_SECTION}], \
+                         [{families} NAME]"
                     ),
                 );
             }
@@ -206,7 +207,8 @@
         }
     }
 
-    /// Adds an error if a named section does not exist. An empty name is already reported as missing.
+    /// Adds an error if a section that a key refers to does not exist. An empty name is skipped,
+    /// since it was already reported as missing.
     fn check_reference(
         &mut self,
         exists: bool,
