--- a/crates/core/src/node/inputs.rs
+++ b/crates/core/src/node/inputs.rs
@@ -5,7 +5,7 @@
 use super::{
     CallId, Clocks, ControlReplica, Input, Node, NodeCall, NodeReply, Output, VmName,
     endpoints::endpoint_statuses,
-    operations::{SETTLE_LIMIT, SUBMIT_LIMIT},
+    operations::{SETTLE_TIMEOUT, SUBMIT_TIMEOUT},
     reads::ReadTarget,
 };
 use crate::{
@@ -101,7 +101,7 @@
             }
             NodeCall::Submit(submit) => {
                 let kind = OperationKind::Submit(submit);
-                self.operations.start(call, kind, SUBMIT_LIMIT, leader, clocks.now, out);
+                self.operations.start(call, kind, SUBMIT_TIMEOUT, leader, clocks.now, out);
             }
             NodeCall::Claim { claim, limit } => {
                 let kind = OperationKind::Claim(claim);
@@ -109,7 +109,7 @@
             }
             NodeCall::Settle(settle) => {
                 let kind = OperationKind::Settle(settle);
-                self.operations.start(call, kind, SETTLE_LIMIT, leader, clocks.now, out);
+                self.operations.start(call, kind, SETTLE_TIMEOUT, leader, clocks.now, out);
             }
             NodeCall::ChangeHall { order, limit } => {
                 let kind = OperationKind::Hall(order);
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -82,7 +82,7 @@
     ControlStatus,
 }
 
-/// Where a request was placed.
+/// The endpoint that a request was placed on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
     /// Name of the endpoint.
--- a/crates/core/src/node/operations.rs
+++ b/crates/core/src/node/operations.rs
@@ -18,11 +18,11 @@
 /// Added to [`RETRY_DELAY`] for each byte of a file: twice its transfer time at 10 Mbit/s.
 const RETRY_DELAY_PER_BYTE: Duration = Duration::from_nanos(1_600);
 /// Timeout of a configuration submission.
-pub(crate) const SUBMIT_LIMIT: Duration = Duration::from_secs(10);
+pub(crate) const SUBMIT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Timeout for storing the result of a claimed call.
-pub(crate) const SETTLE_LIMIT: Duration = Duration::from_secs(120);
+pub(crate) const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Timeout for releasing an expired claim in the background.
-const RELEASE_LIMIT: Duration = Duration::from_secs(120);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// An operation that waits for its reply.
 #[derive(Debug)]
@@ -184,7 +184,7 @@
                 OperationKind::Claim(claim) => {
                     // The claim may still be committed. The call was not sent, so it is released.
                     let kind = OperationKind::Settle(release(&claim));
-                    self.add(kind, None, now.after(RELEASE_LIMIT), leader, now, out);
+                    self.add(kind, None, now.after(RELEASE_TIMEOUT), leader, now, out);
                     NodeReply::Claimed(None)
                 }
                 OperationKind::Settle(_) => NodeReply::Settled(false),
--- a/crates/core/src/node/operations_tests.rs
+++ b/crates/core/src/node/operations_tests.rs
@@ -7,7 +7,7 @@
 
 use super::{
     CallId, Outbox, Output, VmName,
-    operations::{Operations, SUBMIT_LIMIT},
+    operations::{Operations, SUBMIT_TIMEOUT},
 };
 use crate::{
     state::ConfigChange,
@@ -33,7 +33,7 @@
         let mut submission =
             Submission { operations: Operations::numbered_from(1), leader, out: Outbox::default() };
         let (operations, leader) = (&mut submission.operations, Some(&submission.leader));
-        operations.start(CallId(1), kind, SUBMIT_LIMIT, leader, NOW, &mut submission.out);
+        operations.start(CallId(1), kind, SUBMIT_TIMEOUT, leader, NOW, &mut submission.out);
         submission
     }
 
