--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,9 +1,8 @@
-//! The clock by which daemons keep promises.
+//! A monotonic clock that also advances while the VM is suspended.
 //!
-//! A VM may be suspended for seconds. `std::time::Instant` stands still meanwhile, and whatever holds for
-//! so long by it (a confirmed configuration, a request's deadline, a cold start) holds too long by as much.
-//! [`Instant`] goes on. What measures the silence of others stays on the standard clock: the time in which
-//! this VM could hear nothing is not theirs.
+//! `std::time::Instant` stops during a suspension, so that deadlines and expiry times measured with it come
+//! too late. Use [`Instant`] for those. Use the standard clock to detect silent peers: time in which this VM
+//! could receive nothing must not count against them.
 
 use std::{
     cell::Cell,
@@ -14,33 +13,33 @@
 use nix::time::{ClockId, clock_gettime};
 
 thread_local! {
-    /// For how long a test has suspended its VM.
-    static SUSPENDED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
+    /// Total suspension that a test has simulated on this thread.
+    static SIMULATED_SUSPENSION: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
-/// A point in time on the clock that also counts the time in which the VM was suspended.
+/// A point in time on a monotonic clock that includes time spent suspended (`CLOCK_BOOTTIME`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(Duration);
 
 impl Instant {
-    /// The time now.
+    /// Returns the current time.
     pub fn now() -> Instant {
-        // Linux has this clock since 2.6.39, and it can be read by everybody.
-        let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the clock can be read");
-        Instant(Duration::from(now) + SUSPENDED.get())
+        // Available since Linux 2.6.39 without privileges.
+        let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("CLOCK_BOOTTIME is readable");
+        Instant(Duration::from(now) + SIMULATED_SUSPENSION.get())
     }
 
-    /// Time passed since then.
+    /// Returns the time elapsed since this instant.
     pub fn elapsed(self) -> Duration {
         Instant::now().saturating_duration_since(self)
     }
 
-    /// Time from `earlier` to this, zero if `earlier` lies ahead.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than this instant.
     pub fn saturating_duration_since(self, earlier: Instant) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Time from `earlier` to this, unless `earlier` lies ahead.
+    /// Returns the time since `earlier`, or `None` if `earlier` is later than this instant.
     pub fn checked_duration_since(self, earlier: Instant) -> Option<Duration> {
         self.0.checked_sub(earlier.0)
     }
@@ -49,8 +48,8 @@
 impl Add<Duration> for Instant {
     type Output = Instant;
 
-    fn add(self, time: Duration) -> Instant {
-        Instant(self.0 + time)
+    fn add(self, duration: Duration) -> Instant {
+        Instant(self.0 + duration)
     }
 }
 
@@ -62,11 +61,11 @@
     }
 }
 
-/// Suspends the VM that a test plays on this thread: the time passes at once, and no other clock tells
-/// of it.
+/// Simulates a suspension of the VM: advances this clock by `duration`, on the current thread only, and no
+/// other clock.
 #[cfg(feature = "suspend")]
-pub fn simulate_suspend(time: Duration) {
-    SUSPENDED.set(SUSPENDED.get() + time);
+pub fn simulate_suspend(duration: Duration) {
+    SIMULATED_SUSPENSION.set(SIMULATED_SUSPENSION.get() + duration);
 }
 
 #[cfg(all(test, feature = "suspend"))]
--- a/crates/clock/src/tests.rs
+++ b/crates/clock/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the clock.
+//! Tests of the clock during simulated suspensions.
 
 use std::{thread, time::Duration};
 
@@ -7,7 +7,7 @@
 use super::{Instant, simulate_suspend};
 
 #[gtest]
-fn it_counts_the_time_in_which_the_vm_was_suspended() {
+fn clock_includes_suspension() {
     let before = Instant::now();
 
     simulate_suspend(Duration::from_secs(5));
@@ -16,11 +16,11 @@
 }
 
 #[gtest]
-fn a_test_suspends_only_the_vm_of_its_own_thread() {
+fn simulated_suspension_is_per_thread() {
     let before = Instant::now();
     simulate_suspend(Duration::from_secs(3_600));
 
-    let elsewhere = thread::spawn(Instant::now).join().unwrap();
+    let other_thread_now = thread::spawn(Instant::now).join().unwrap();
 
-    expect_that!(elsewhere - before, lt(Duration::from_secs(3_600)));
+    expect_that!(other_thread_now - before, lt(Duration::from_secs(3_600)));
 }
