--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,20 +1,20 @@
-//! Bounded request bodies and whole answers.
+//! Size-limited request bodies and complete (non-streaming) responses.
 
 use std::io::{self, Read};
 
 use serde::Serialize;
 use tiny_http::{Header, Request, Response};
 
-/// Why a body could not be read.
+/// The reason why a request body could not be read.
 #[derive(Debug)]
 pub enum BodyError {
-    /// It is larger than the limit.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The sender was too slow or left.
+    /// The connection failed, timed out or was closed by the client.
     Io(io::Error),
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads the request body, which may have at most `limit` bytes.
 pub fn read_body(req: &mut Request, limit: usize) -> Result<Vec<u8>, BodyError> {
     if req.body_length().is_some_and(|length| limit < length) {
         return Err(BodyError::TooLarge);
@@ -28,12 +28,12 @@
     Ok(body)
 }
 
-/// The value of a header, if given.
+/// Returns the value of the first header with this name, ignoring case.
 pub fn header<'a>(req: &'a Request, name: &'static str) -> Option<&'a str> {
     req.headers().iter().find(|h| h.field.equiv(name)).map(|h| h.value.as_str())
 }
 
-/// Answers with a whole body.
+/// Sends a response with the given body; headers that are not valid HTTP are omitted.
 pub fn respond(
     req: Request,
     status: u16,
@@ -49,7 +49,7 @@
     req.respond(response)
 }
 
-/// Answers with JSON.
+/// Sends `value` as a JSON response.
 pub fn respond_json(
     req: Request,
     status: u16,
@@ -57,7 +57,7 @@
     value: &impl Serialize,
 ) -> io::Result<()> {
     let body = serde_json::to_vec(value)?;
-    let mut all = vec![("Content-Type", "application/json")];
-    all.extend_from_slice(headers);
-    respond(req, status, &all, body)
+    let mut all_headers = vec![("Content-Type", "application/json")];
+    all_headers.extend_from_slice(headers);
+    respond(req, status, &all_headers, body)
 }
--- a/crates/http/src/event_reader.rs
+++ b/crates/http/src/event_reader.rs
@@ -1,4 +1,4 @@
-//! Reading server-sent events from a blocking reader.
+//! Reads server-sent events from a blocking reader.
 
 use std::{
     fmt,
@@ -13,27 +13,27 @@
 use futures_executor::BlockingStream;
 use futures_util::{Stream, stream};
 
-const CHUNK: usize = 8 * 1024;
-/// Most bytes that may come before an event is complete.
-const MAX_EVENT: usize = 1024 * 1024;
+const READ_BUFFER_BYTES: usize = 8 * 1024;
+/// Maximum number of bytes received without completing an event.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// One event as received.
+/// A received event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Last id given on the stream, empty if none.
+    /// Most recent event id on the stream; empty if there was none.
     pub id: String,
-    /// Event name; `message` if none was given.
+    /// Event type; `message` if the event has none.
     pub name: String,
-    /// Its data lines.
+    /// Data lines, joined by line breaks.
     pub data: String,
 }
 
-/// Why no further event can be read.
+/// The reason why the next event could not be read.
 #[derive(Debug)]
 pub enum EventError {
-    /// The connection failed or stalled beyond its read time-out.
+    /// The connection failed or timed out.
     Io(io::Error),
-    /// The bytes are not a stream of events.
+    /// The bytes are not a valid event stream.
     Malformed(String),
 }
 
@@ -41,41 +41,47 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             EventError::Io(e) => write!(f, "{e}"),
-            EventError::Malformed(problem) => write!(f, "malformed event stream: {problem}"),
+            EventError::Malformed(message) => write!(f, "malformed event stream: {message}"),
         }
     }
 }
 
 impl std::error::Error for EventError {}
 
-type Chunks = Box<dyn Stream<Item = io::Result<Vec<u8>>> + Send + Unpin>;
+type ChunkStream = Box<dyn Stream<Item = io::Result<Vec<u8>>> + Send + Unpin>;
 
-/// Iterates over the events of a reader; ends at the end of the stream.
+/// Iterator over the events of a reader; an incomplete event at the end of the stream is dropped.
 pub struct EventReader {
-    events: BlockingStream<eventsource_stream::EventStream<Chunks>>,
-    pending: Arc<AtomicUsize>,
+    events: BlockingStream<eventsource_stream::EventStream<ChunkStream>>,
+    /// Bytes received since an event was last returned.
+    bytes_since_event: Arc<AtomicUsize>,
 }
 
 impl EventReader {
-    /// Reads events from `reader`.
+    /// Creates an event reader on top of `reader`.
     pub fn new(reader: Box<dyn Read + Send>) -> EventReader {
-        let pending = Arc::new(AtomicUsize::new(0));
-        let chunks: Chunks = Box::new(stream::iter(chunks(reader, pending.clone())));
-        EventReader { events: futures_executor::block_on_stream(chunks.eventsource()), pending }
+        let bytes_since_event = Arc::new(AtomicUsize::new(0));
+        let chunks: ChunkStream =
+            Box::new(stream::iter(read_chunks(reader, bytes_since_event.clone())));
+        EventReader {
+            events: futures_executor::block_on_stream(chunks.eventsource()),
+            bytes_since_event,
+        }
     }
 }
 
-fn chunks(
+/// Splits `reader` into chunks; fails once an event exceeds `MAX_EVENT_BYTES`.
+fn read_chunks(
     mut reader: Box<dyn Read + Send>,
-    pending: Arc<AtomicUsize>,
+    bytes_since_event: Arc<AtomicUsize>,
 ) -> impl Iterator<Item = io::Result<Vec<u8>>> + Send {
-    let mut buf = vec![0; CHUNK];
+    let mut buf = vec![0; READ_BUFFER_BYTES];
     std::iter::from_fn(move || match reader.read(&mut buf) {
         Ok(0) => None,
         Ok(n) => {
-            let before = pending.fetch_add(n, Ordering::Relaxed);
-            if MAX_EVENT < before + n {
-                return Some(Err(io::Error::other("an event is larger than 1 MiB")));
+            let before = bytes_since_event.fetch_add(n, Ordering::Relaxed);
+            if MAX_EVENT_BYTES < before + n {
+                return Some(Err(io::Error::other("event exceeds 1 MiB")));
             }
             Some(Ok(buf[..n].to_vec()))
         }
@@ -92,7 +98,7 @@
             Err(EventStreamError::Transport(e)) => return Some(Err(EventError::Io(e))),
             Err(e) => return Some(Err(EventError::Malformed(e.to_string()))),
         };
-        self.pending.store(0, Ordering::Relaxed);
+        self.bytes_since_event.store(0, Ordering::Relaxed);
         Some(Ok(Event { id: event.id, name: event.event, data: event.data }))
     }
 }
--- a/crates/http/src/event_writer.rs
+++ b/crates/http/src/event_writer.rs
@@ -1,25 +1,25 @@
-//! Writing server-sent events, each sent at once.
+//! Writes server-sent events and flushes each immediately.
 
 use std::io::{self, Write};
 
 use chunked_transfer::Encoder;
 use tiny_http::Request;
 
-/// One event to send.
+/// An event to send.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OutgoingEvent<'a> {
-    /// Position, if the event has one.
+    /// Event id; omitted from the stream if `None`.
     pub id: Option<u64>,
-    /// Event name, if not the default.
+    /// Event type; `None` for the default type `message`.
     pub name: Option<&'a str>,
-    /// Data, without line breaks.
+    /// Data; must not contain line breaks.
     pub data: &'a str,
 }
 
-/// Flushes on each write: neither `tiny_http` nor the encoder flushes what lies beneath.
-struct Flushing(Box<dyn Write + Send>);
+/// Flushes after every write, because neither `tiny_http` nor the encoder flushes the inner writer.
+struct FlushingWriter(Box<dyn Write + Send>);
 
-impl Write for Flushing {
+impl Write for FlushingWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         let n = self.0.write(buf)?;
         self.0.flush()?;
@@ -31,14 +31,14 @@
     }
 }
 
-/// An answer that is a stream of events.
+/// A chunked HTTP response that streams events.
 pub struct EventWriter {
-    encoder: Encoder<Flushing>,
+    encoder: Encoder<FlushingWriter>,
     buf: Vec<u8>,
 }
 
 impl EventWriter {
-    /// Sends the head of the answer with status 200.
+    /// Starts the response: sends status 200 and the headers.
     pub fn open(req: Request, headers: &[(&str, &str)]) -> io::Result<EventWriter> {
         let mut head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\
             Cache-Control: no-store\r\nTransfer-Encoding: chunked\r\n"
@@ -47,13 +47,13 @@
             write!(head, "{name}: {value}\r\n")?;
         }
         head.extend_from_slice(b"\r\n");
-        let mut writer = Flushing(req.into_writer());
+        let mut writer = FlushingWriter(req.into_writer());
         writer.0.write_all(&head)?;
         writer.0.flush()?;
         Ok(EventWriter { encoder: Encoder::new(writer), buf: Vec::new() })
     }
 
-    /// Sends one event.
+    /// Sends an event.
     pub fn send(&mut self, event: &OutgoingEvent<'_>) -> io::Result<()> {
         self.buf.clear();
         if let Some(id) = event.id {
@@ -67,7 +67,7 @@
         self.encoder.flush()
     }
 
-    /// Ends the answer; without this the caller sees a broken connection.
+    /// Flushes and ends the response. Dropping the writer also ends it, but ignores errors.
     pub fn finish(mut self) -> io::Result<()> {
         self.encoder.flush()
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,5 +1,6 @@
-//! HTTP edges shared by the trayswitch programs: a listener that survives accept
-//! errors, bounded bodies, JSON answers, and server-sent events in both directions.
+//! HTTP utilities shared by the trayswitch programs: a listener that survives accept
+//! errors, size-limited request bodies, JSON responses, and reading and writing of
+//! server-sent events.
 
 mod body;
 mod event_reader;
--- a/crates/http/src/listener.rs
+++ b/crates/http/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listener whose accept loop outlives errors and whose connections are bounded in time.
+//! An HTTP listener that recovers from accept errors and applies socket timeouts.
 
 use std::{
     io,
@@ -14,12 +14,12 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use tiny_http::{Request, Server};
 
-/// Longest silences that a connection may have.
+/// Timeouts of accepted connections.
 #[derive(Debug, Clone, Copy)]
 pub struct SocketTimeouts {
-    /// Longest wait for the next bytes of a request.
+    /// Maximum wait for the next bytes of a request.
     pub read: Duration,
-    /// Longest wait for the peer to take bytes of an answer.
+    /// Maximum wait for the client to accept further bytes of a response.
     pub write: Duration,
 }
 
@@ -29,20 +29,21 @@
     }
 }
 
-const BACKLOG: i32 = 1024;
-const REOPEN_PAUSE: Duration = Duration::from_millis(50);
-/// Interval of pulses while requests come.
-const FAST_PULSE: Duration = Duration::from_millis(10);
-/// Interval of pulses while none come.
-const SLOW_PULSE: Duration = Duration::from_millis(250);
+/// Maximum number of connections that wait to be accepted.
+const LISTEN_BACKLOG: i32 = 1024;
+/// Delay before the accept loop is restarted after an error.
+const RESTART_DELAY: Duration = Duration::from_millis(50);
+/// Interval of wake-up connections while requests arrive.
+const BUSY_WAKEUP_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval of wake-up connections while no requests arrive.
+const IDLE_WAKEUP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A running HTTP server; each request is handed to the handler.
+/// A running HTTP server that passes each request to a handler.
 ///
-/// The bounds are set on the listening socket, from which accepted sockets
-/// inherit them. That makes `accept` itself time out when no connection comes;
-/// short connections to the own address prevent it. The accept loop is opened
-/// anew after an error (out of file descriptors, for example), which `tiny_http`
-/// takes as the end.
+/// Accepted sockets inherit the timeouts of the listening socket. The read timeout
+/// also applies to `accept`; periodic wake-up connections keep it from expiring.
+/// `tiny_http` ends its accept loop on any error, such as running out of file
+/// descriptors, so the server then starts a new one.
 pub struct HttpServer {
     address: SocketAddr,
     activity: Arc<Activity>,
@@ -51,53 +52,56 @@
 #[derive(Default)]
 struct Activity {
     closed: AtomicBool,
-    /// Requests since the last pulse.
+    /// Requests received since the last wake-up connection.
     requests: AtomicUsize,
 }
 
 impl HttpServer {
-    /// Binds the address and serves it; `handle` must not block for long.
+    /// Binds `address` and starts serving.
+    ///
+    /// `handle` runs on the thread that receives requests and must not block for long.
     pub fn bind(
         address: SocketAddr,
-        bounds: SocketTimeouts,
+        timeouts: SocketTimeouts,
         handle: Arc<dyn Fn(Request) + Send + Sync>,
     ) -> io::Result<HttpServer> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
         socket.set_tcp_nodelay(true)?;
-        socket.set_read_timeout(Some(bounds.read))?;
-        socket.set_write_timeout(Some(bounds.write))?;
+        socket.set_read_timeout(Some(timeouts.read))?;
+        socket.set_write_timeout(Some(timeouts.write))?;
         socket.bind(&address.into())?;
-        socket.listen(BACKLOG)?;
+        socket.listen(LISTEN_BACKLOG)?;
         let listener = TcpListener::from(socket);
         let address = listener.local_addr()?;
         let activity = Arc::new(Activity::default());
-        serve(listener, activity.clone(), handle)?;
-        let pulsed = activity.clone();
-        let run = move || pulse(address, bounds.read / 3, &pulsed);
+        spawn_server(listener, activity.clone(), handle)?;
+        let wakeup_activity = activity.clone();
+        let run = move || send_wakeups(address, timeouts.read / 3, &wakeup_activity);
         thread::Builder::new().name("pulse".into()).spawn(run)?;
         Ok(HttpServer { address, activity })
     }
 
-    /// The bound address.
+    /// Returns the bound address, with the actual port if port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops opening the listener anew; the process is about to exit.
+    /// Stops the wake-up connections and restarts of the accept loop, before the process exits.
     pub fn close(&self) {
         self.activity.closed.store(true, Ordering::Relaxed);
     }
 }
 
-fn serve(
+/// Starts a thread that passes requests to `handle` and restarts the accept loop once it has failed.
+fn spawn_server(
     listener: TcpListener,
     activity: Arc<Activity>,
     handle: Arc<dyn Fn(Request) + Send + Sync>,
 ) -> io::Result<()> {
     let server = Server::from_listener(listener.try_clone()?, None).map_err(io::Error::other)?;
     let mut listener = Some(listener);
-    let work = move || {
+    let run = move || {
         loop {
             match server.recv() {
                 Ok(req) => {
@@ -110,36 +114,41 @@
                     if activity.closed.load(Ordering::Relaxed) {
                         return;
                     }
-                    thread::sleep(REOPEN_PAUSE);
-                    // Requests of connections already open still arrive here.
-                    if let Err(e) = serve(listener, activity.clone(), handle.clone()) {
-                        log::error!("cannot open the listener anew: {e}");
+                    thread::sleep(RESTART_DELAY);
+                    // This loop continues to serve the connections that are already open.
+                    if let Err(e) = spawn_server(listener, activity.clone(), handle.clone()) {
+                        log::error!("cannot restart the accept loop: {e}");
                         return;
                     }
                 }
             }
         }
     };
-    thread::Builder::new().name("http".into()).spawn(work)?;
+    thread::Builder::new().name("http".into()).spawn(run)?;
     Ok(())
 }
 
-/// Connects to the own address and leaves at once, again and again.
+/// Periodically opens and closes a connection to the server's own address.
 ///
-/// `tiny_http` counts a pool thread as idle until it has woken up. In a burst a
-/// connection can so be queued for a thread that is already taken, and it would
-/// wait until some other connection closes. Each short connection makes the pool
-/// start a thread that takes what is queued.
-fn pulse(address: SocketAddr, slowest: Duration, activity: &Activity) {
+/// `tiny_http` counts a pool thread as idle until it has woken up, so a burst can
+/// queue a connection for a thread that is already assigned. The connection would
+/// wait until another one closes. A wake-up connection makes the pool start a
+/// thread that serves the queue.
+/// `max_interval` also limits each connection attempt.
+fn send_wakeups(address: SocketAddr, max_interval: Duration, activity: &Activity) {
     let mut target = address;
     if target.ip().is_unspecified() {
         target.set_ip(std::net::Ipv4Addr::LOCALHOST.into());
     }
     while !activity.closed.load(Ordering::Relaxed) {
         let busy = activity.requests.swap(0, Ordering::Relaxed) != 0;
-        thread::sleep(if busy { FAST_PULSE } else { slowest.min(SLOW_PULSE) });
-        if let Ok(socket) = TcpStream::connect_timeout(&target, slowest) {
-            // Closing with a reset leaves no socket behind in TIME_WAIT.
+        thread::sleep(if busy {
+            BUSY_WAKEUP_INTERVAL
+        } else {
+            max_interval.min(IDLE_WAKEUP_INTERVAL)
+        });
+        if let Ok(socket) = TcpStream::connect_timeout(&target, max_interval) {
+            // Closing with a reset avoids sockets in TIME_WAIT.
             let _ = Socket::from(socket).set_linger(Some(Duration::ZERO));
         }
     }
