--- a/crates/core/src/throttle/limit.rs
+++ b/crates/core/src/throttle/limit.rs
@@ -1,30 +1,30 @@
-//! The limit itself, as an endpoint names it.
+//! Parsing of rate limits.
 
 use std::{fmt, str::FromStr, time::Duration};
 
-/// An endpoint that takes fewer requests than one in this time is sent one all the same: one that gets no
-/// request can never say that its need is over.
+/// Longest interval between requests to an endpoint, whatever its limit: an endpoint that receives
+/// no requests cannot report that its limit is lifted.
 pub const MAX_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Requests a second that an endpoint takes, from all daemons together. Zero or more, and finite.
+/// Requests per second that an endpoint accepts from all daemons together: finite and not negative.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct RateLimit(f64);
 
-/// Why a text names no limit.
+/// Why a value is not a rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InvalidRateLimit {
-    /// It is no decimal number.
+    /// Not a decimal number.
     NotANumber,
-    /// It is below zero.
+    /// Negative.
     Negative,
-    /// It is infinite, or not a number by its own word.
+    /// Infinite or NaN.
     NotFinite,
-    /// More than one is named.
+    /// More than one value was given.
     Repeated,
 }
 
 impl RateLimit {
-    /// A limit of so many requests a second.
+    /// Creates a limit from requests per second.
     pub fn new(per_second: f64) -> Result<RateLimit, InvalidRateLimit> {
         if !per_second.is_finite() {
             return Err(InvalidRateLimit::NotFinite);
@@ -35,7 +35,7 @@
         Ok(RateLimit(per_second))
     }
 
-    /// The only limit that is named by these texts, if any is.
+    /// Parses the values of a header that may be given at most once.
     pub fn from_values<'a>(
         mut texts: impl Iterator<Item = &'a str>,
     ) -> Result<Option<RateLimit>, InvalidRateLimit> {
@@ -46,12 +46,12 @@
         text.parse().map(Some)
     }
 
-    /// Requests a second.
+    /// Requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
 
-    /// Time between two requests at this rate, which is bounded by [`MAX_INTERVAL`].
+    /// Interval between requests at this rate, at most [`MAX_INTERVAL`].
     pub fn interval(self) -> Duration {
         let interval = Duration::try_from_secs_f64(1.0 / self.0).unwrap_or(MAX_INTERVAL);
         interval.min(MAX_INTERVAL)
@@ -72,7 +72,7 @@
     }
 }
 
-/// A limit as log lines tell it, if there is one.
+/// Formats a limit for log fields; `-` if there is none.
 pub fn describe_limit(limit: Option<RateLimit>) -> String {
     limit.map_or_else(|| "-".to_owned(), |limit| limit.to_string())
 }
--- a/crates/core/src/throttle/limit_tests.rs
+++ b/crates/core/src/throttle/limit_tests.rs
@@ -1,4 +1,4 @@
-//! Limits as endpoints write them, well and badly.
+//! Parsing of valid and invalid rate limits.
 
 use std::time::Duration;
 
@@ -6,31 +6,31 @@
 
 use super::{InvalidRateLimit, RateLimit, limit::MAX_INTERVAL};
 
-fn read(text: &str) -> std::result::Result<f64, InvalidRateLimit> {
+fn parse(text: &str) -> std::result::Result<f64, InvalidRateLimit> {
     text.parse::<RateLimit>().map(RateLimit::per_second)
 }
 
 #[gtest]
-fn decimal_numbers_are_read() {
-    expect_that!(read("2.9"), ok(eq(2.9)));
-    expect_that!(read(" 12 "), ok(eq(12.0)));
-    expect_that!(read("0"), ok(eq(0.0)));
-    expect_that!(read("1e300"), ok(eq(1e300)));
+fn decimal_numbers_are_parsed() {
+    expect_that!(parse("2.9"), ok(eq(2.9)));
+    expect_that!(parse(" 12 "), ok(eq(12.0)));
+    expect_that!(parse("0"), ok(eq(0.0)));
+    expect_that!(parse("1e300"), ok(eq(1e300)));
 }
 
 #[gtest]
-fn what_is_no_limit_is_told_apart() {
-    expect_that!(read(""), err(eq(InvalidRateLimit::NotANumber)));
-    expect_that!(read("2,9"), err(eq(InvalidRateLimit::NotANumber)));
-    expect_that!(read("many"), err(eq(InvalidRateLimit::NotANumber)));
-    expect_that!(read("-1"), err(eq(InvalidRateLimit::Negative)));
-    expect_that!(read("NaN"), err(eq(InvalidRateLimit::NotFinite)));
-    expect_that!(read("inf"), err(eq(InvalidRateLimit::NotFinite)));
-    expect_that!(read("1e999"), err(eq(InvalidRateLimit::NotFinite)));
+fn invalid_limits_are_rejected_with_a_reason() {
+    expect_that!(parse(""), err(eq(InvalidRateLimit::NotANumber)));
+    expect_that!(parse("2,9"), err(eq(InvalidRateLimit::NotANumber)));
+    expect_that!(parse("many"), err(eq(InvalidRateLimit::NotANumber)));
+    expect_that!(parse("-1"), err(eq(InvalidRateLimit::Negative)));
+    expect_that!(parse("NaN"), err(eq(InvalidRateLimit::NotFinite)));
+    expect_that!(parse("inf"), err(eq(InvalidRateLimit::NotFinite)));
+    expect_that!(parse("1e999"), err(eq(InvalidRateLimit::NotFinite)));
 }
 
 #[gtest]
-fn of_two_none_holds() {
+fn repeated_values_are_rejected() {
     expect_that!(
         RateLimit::from_values(["3", "4"].into_iter()),
         err(eq(InvalidRateLimit::Repeated))
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn the_time_between_two_requests_follows_and_is_bounded() {
+fn interval_is_the_inverse_rate_within_bounds() {
     let interval = |per_second| RateLimit::new(per_second).unwrap().interval();
 
     expect_that!(interval(4.0), eq(Duration::from_millis(250)));
--- a/crates/core/src/throttle/mod.rs
+++ b/crates/core/src/throttle/mod.rs
@@ -1,13 +1,17 @@
-//! Endpoints that name how many requests a second they take, from all daemons together.
+//! Rate limits that endpoints report for the requests of all daemons together.
 //!
-//! An endpoint in need says so in its answers, for as long as the need lasts. A [`Throttle`] knows these limits
-//! and when each endpoint may be sent the next request. The scheduler of all daemons has one, and counts what
-//! it places itself; a [`PermitQueue`] beside it gives permits for what daemons send without it. So one place counts
-//! the whole. A daemon that reaches no scheduler has both of its own, and keeps to a share.
+//! An overloaded endpoint names a limit in its responses until it recovers. [`Throttle`] stores
+//! these limits and paces the requests to each endpoint. The scheduler shared by all daemons has
+//! one and counts the requests that it places; its [`PermitQueue`] grants permits for requests that
+//! daemons send without it, so that both draw on the same limit. A daemon that cannot reach a
+//! scheduler uses its own [`Throttle`] with its share of each limit.
 
 mod limit;
 #[cfg(test)]
 mod limit_tests;
+mod pacer;
+#[cfg(test)]
+mod pacer_tests;
 mod queue;
 #[cfg(test)]
 mod queue_tests;
@@ -15,9 +19,6 @@
 mod table;
 #[cfg(test)]
 mod table_tests;
-mod turns;
-#[cfg(test)]
-mod turns_tests;
 
 pub use self::{
     limit::{InvalidRateLimit, RateLimit, describe_limit},
--- a/crates/core/src/throttle/queue.rs
+++ b/crates/core/src/throttle/queue.rs
@@ -1,4 +1,4 @@
-//! Gives permits for single requests to endpoints that name limits, first come, first served.
+//! Grants permits for single requests to rate limited endpoints, first come, first served.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -9,67 +9,66 @@
 use super::Throttle;
 use crate::units::Instant;
 
-/// Most that wait for a permit at the endpoints of one service.
+/// Maximum requests that wait for a permit to the endpoints of one service.
 const MAX_WAITING: usize = 1_024;
-/// Those that were refused within this time are counted into when the next one may come back, so that they do not
-/// all come at the same moment.
-const REFUSED_TOGETHER: Duration = Duration::from_secs(1);
-/// Nobody is told to come back sooner than this, which is some round trips.
-const SHORTEST_RETRY: Duration = Duration::from_millis(50);
-/// Nor later: by then the endpoints may say otherwise.
-const LONGEST_RETRY: Duration = Duration::from_secs(4);
-
-/// A request for a permit.
+/// Window in which denied requests are counted to spread their retries.
+const DENIAL_WINDOW: Duration = Duration::from_secs(1);
+/// Shortest `retry_after`: a few round trips.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Longest `retry_after`: the limits may have changed by then.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
+
+/// A request for a permit, identified by its requester.
 #[derive(Debug, Clone)]
 pub struct PermitRequest<A> {
-    /// Who asks.
+    /// Identifies the requester in the decision.
     pub requester: A,
-    /// The service that the endpoints are of.
+    /// Service that the endpoints belong to.
     pub service: Arc<str>,
-    /// The endpoints that it may go to, the one that it would choose first.
+    /// Acceptable endpoints, in order of preference.
     pub endpoints: Vec<Arc<str>>,
-    /// How long it can wait.
+    /// Longest time to wait for the permit.
     pub max_wait: Duration,
 }
 
-/// What an asker is told.
+/// Outcome of a [`PermitRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Permit {
-    /// It may send one request to this endpoint, at once.
+    /// One request may be sent to this endpoint now.
     Granted(Arc<str>),
-    /// None of the endpoints takes one in time.
+    /// No endpoint accepts a request within `max_wait`.
     Denied {
-        /// When one likely does.
+        /// When an endpoint is expected to accept a request.
         retry_after: Duration,
     },
 }
 
 #[derive(Debug)]
 struct Waiting<A> {
-    ask: PermitRequest<A>,
+    req: PermitRequest<A>,
     deadline: Instant,
 }
 
-/// Those that wait for a permit at one service.
+/// Requests that wait for endpoints of one service.
 #[derive(Debug)]
 struct ServiceQueue<A> {
     waiting: VecDeque<Waiting<A>>,
-    refused: u32,
-    /// Since when they are counted.
-    refused_since: Instant,
+    denied: u32,
+    /// Start of the window in which `denied` is counted.
+    denied_since: Instant,
 }
 
 impl<A> Default for ServiceQueue<A> {
     fn default() -> ServiceQueue<A> {
-        ServiceQueue { waiting: VecDeque::new(), refused: 0, refused_since: Instant::default() }
+        ServiceQueue { waiting: VecDeque::new(), denied: 0, denied_since: Instant::default() }
     }
 }
 
-/// Gives permits; knows nothing but who waits.
+/// Queues permit requests per service. The limits themselves are in [`Throttle`].
 #[derive(Debug)]
 pub struct PermitQueue<A> {
     queues: BTreeMap<Arc<str>, ServiceQueue<A>>,
-    /// When it must decide again.
+    /// When [`PermitQueue::decide`] is due.
     due: Option<Instant>,
 }
 
@@ -80,121 +79,121 @@
 }
 
 impl<A: Clone + PartialEq> PermitQueue<A> {
-    /// Takes a request for a permit; it waits if nothing is returned.
+    /// Returns the decision, or `None` if the request was queued.
     pub fn request(
         &mut self,
-        ask: PermitRequest<A>,
+        req: PermitRequest<A>,
         throttle: &mut Throttle,
         now: Instant,
     ) -> Option<Permit> {
-        let queue = self.queues.entry(ask.service.clone()).or_default();
+        let queue = self.queues.entry(req.service.clone()).or_default();
         if queue.waiting.is_empty()
-            && let Some(endpoint) = take_turn(&ask, throttle, now)
+            && let Some(endpoint) = acquire(&req, throttle, now)
         {
             return Some(Permit::Granted(endpoint));
         }
-        let wait = queue.expected_wait(&ask, throttle, now);
-        if ask.max_wait < wait || MAX_WAITING <= queue.waiting.len() {
-            return Some(queue.refuse(&ask, wait, throttle, now));
+        let wait = queue.expected_wait(&req, throttle, now);
+        if req.max_wait < wait || MAX_WAITING <= queue.waiting.len() {
+            return Some(queue.deny(&req, wait, throttle, now));
         }
-        let deadline = now.after(ask.max_wait);
-        queue.waiting.push_back(Waiting { ask, deadline });
-        self.look_ahead(throttle, now);
+        let deadline = now.after(req.max_wait);
+        queue.waiting.push_back(Waiting { req, deadline });
+        self.update_due(throttle, now);
         None
     }
 
-    /// What those that wait are told now.
+    /// Grants permits that are due and denies requests whose deadline has passed.
     pub fn decide(&mut self, throttle: &mut Throttle, now: Instant) -> Vec<(A, Permit)> {
-        let mut told = Vec::new();
+        let mut decisions = Vec::new();
         for queue in self.queues.values_mut() {
-            for Waiting { ask, deadline } in std::mem::take(&mut queue.waiting) {
-                if let Some(endpoint) = take_turn(&ask, throttle, now) {
-                    told.push((ask.requester, Permit::Granted(endpoint)));
+            for Waiting { req, deadline } in std::mem::take(&mut queue.waiting) {
+                if let Some(endpoint) = acquire(&req, throttle, now) {
+                    decisions.push((req.requester, Permit::Granted(endpoint)));
                 } else if deadline <= now {
-                    let wait = queue.expected_wait(&ask, throttle, now);
-                    let refused = queue.refuse(&ask, wait, throttle, now);
-                    told.push((ask.requester, refused));
+                    let wait = queue.expected_wait(&req, throttle, now);
+                    let denied = queue.deny(&req, wait, throttle, now);
+                    decisions.push((req.requester, denied));
                 } else {
-                    queue.waiting.push_back(Waiting { ask, deadline });
+                    queue.waiting.push_back(Waiting { req, deadline });
                 }
             }
         }
         let is_used = |queue: &ServiceQueue<A>| {
-            !queue.waiting.is_empty() || now.since(queue.refused_since) < REFUSED_TOGETHER
+            !queue.waiting.is_empty() || now.since(queue.denied_since) < DENIAL_WINDOW
         };
         self.queues.retain(|_, queue| is_used(queue));
-        self.look_ahead(throttle, now);
-        told
+        self.update_due(throttle, now);
+        decisions
     }
 
-    /// When [`PermitQueue::decide`] must be called even without other input.
+    /// When [`PermitQueue::decide`] must next be called.
     pub fn next_decision(&self) -> Option<Instant> {
         self.due
     }
 
-    /// Forgets those who ask no more.
+    /// Drops queued requests whose requester is gone.
     pub fn cancel(&mut self, is_gone: impl Fn(&A) -> bool) {
         for queue in self.queues.values_mut() {
-            queue.waiting.retain(|waiting| !is_gone(&waiting.ask.requester));
+            queue.waiting.retain(|waiting| !is_gone(&waiting.req.requester));
         }
     }
 
-    /// Takes all that wait out.
+    /// Removes and returns all queued requests.
     pub fn drain_waiting(&mut self) -> Vec<PermitRequest<A>> {
         let queues = std::mem::take(&mut self.queues);
         self.due = None;
-        queues.into_values().flat_map(|queue| queue.waiting).map(|waiting| waiting.ask).collect()
+        queues.into_values().flat_map(|queue| queue.waiting).map(|waiting| waiting.req).collect()
     }
 
-    fn look_ahead(&mut self, throttle: &Throttle, now: Instant) {
+    fn update_due(&mut self, throttle: &Throttle, now: Instant) {
         let waiting = self.queues.values().flat_map(|queue| &queue.waiting);
         let due = waiting.map(|waiting| {
-            let turns =
-                waiting.ask.endpoints.iter().map(|endpoint| throttle.next_send_at(endpoint, now));
-            turns.fold(waiting.deadline, Instant::min)
+            let send_times =
+                waiting.req.endpoints.iter().map(|endpoint| throttle.next_send_at(endpoint, now));
+            send_times.fold(waiting.deadline, Instant::min)
         });
         self.due = due.min();
     }
 }
 
 impl<A> ServiceQueue<A> {
-    /// How long one more would wait.
-    fn expected_wait(&self, ask: &PermitRequest<A>, throttle: &Throttle, now: Instant) -> Duration {
-        let first = ask.endpoints.iter().map(|endpoint| throttle.next_send_at(endpoint, now)).min();
-        let first = first.map_or(LONGEST_RETRY, |at| at.since(now));
-        first + spread(self.waiting.len(), rate(ask, throttle))
+    /// Expected wait of one more request.
+    fn expected_wait(&self, req: &PermitRequest<A>, throttle: &Throttle, now: Instant) -> Duration {
+        let first = req.endpoints.iter().map(|endpoint| throttle.next_send_at(endpoint, now)).min();
+        let first = first.map_or(MAX_RETRY_AFTER, |at| at.since(now));
+        first + time_to_send(self.waiting.len(), combined_rate(req, throttle))
     }
 
-    fn refuse(
+    fn deny(
         &mut self,
-        ask: &PermitRequest<A>,
+        req: &PermitRequest<A>,
         wait: Duration,
         throttle: &Throttle,
         now: Instant,
     ) -> Permit {
-        if REFUSED_TOGETHER <= now.since(self.refused_since) {
-            (self.refused, self.refused_since) = (0, now);
+        if DENIAL_WINDOW <= now.since(self.denied_since) {
+            (self.denied, self.denied_since) = (0, now);
         }
-        let retry_after = wait + spread(self.refused as usize, rate(ask, throttle));
-        self.refused += 1;
-        Permit::Denied { retry_after: retry_after.clamp(SHORTEST_RETRY, LONGEST_RETRY) }
+        let retry_after = wait + time_to_send(self.denied as usize, combined_rate(req, throttle));
+        self.denied += 1;
+        Permit::Denied { retry_after: retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER) }
     }
 }
 
-/// Uses the turn of the first endpoint whose turn has come.
-fn take_turn<A>(ask: &PermitRequest<A>, throttle: &mut Throttle, now: Instant) -> Option<Arc<str>> {
-    let endpoint = ask.endpoints.iter().find(|endpoint| throttle.may_send(endpoint, now))?;
+/// Counts a request to the first endpoint that accepts one now, and returns it.
+fn acquire<A>(req: &PermitRequest<A>, throttle: &mut Throttle, now: Instant) -> Option<Arc<str>> {
+    let endpoint = req.endpoints.iter().find(|endpoint| throttle.may_send(endpoint, now))?;
     throttle.on_sent(endpoint, now);
     Some(endpoint.clone())
 }
 
-/// Requests a second that the endpoints take together.
-fn rate<A>(ask: &PermitRequest<A>, throttle: &Throttle) -> f64 {
-    ask.endpoints.iter().filter_map(|endpoint| throttle.rate(endpoint)).sum()
+/// Combined send rate of the endpoints, in requests per second.
+fn combined_rate<A>(req: &PermitRequest<A>, throttle: &Throttle) -> f64 {
+    req.endpoints.iter().filter_map(|endpoint| throttle.rate(endpoint)).sum()
 }
 
-/// The time in which so many requests are sent at this rate.
-fn spread(requests: usize, rate: f64) -> Duration {
-    let time = Duration::try_from_secs_f64(requests as f64 / rate).unwrap_or(LONGEST_RETRY);
-    time.min(LONGEST_RETRY)
+/// Time to send this number of requests at this rate, at most [`MAX_RETRY_AFTER`].
+fn time_to_send(requests: usize, rate: f64) -> Duration {
+    let time = Duration::try_from_secs_f64(requests as f64 / rate).unwrap_or(MAX_RETRY_AFTER);
+    time.min(MAX_RETRY_AFTER)
 }
--- a/crates/core/src/throttle/queue_tests.rs
+++ b/crates/core/src/throttle/queue_tests.rs
@@ -1,4 +1,4 @@
-//! Permits for requests to endpoints that name limits, counted in one place.
+//! Permits for requests to rate limited endpoints.
 
 use std::time::Duration;
 
@@ -9,34 +9,34 @@
 use crate::{placement::SenderRole, testing::fixed_seed, units::Instant};
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Time before any limit is named in these tests.
+/// Time at which the tests begin.
 const START: Instant = Instant(1_000_000);
 
 fn after_ms(millis: u64) -> Instant {
     START.after(Duration::from_millis(millis))
 }
 
-/// Endpoints that have all named a limit of so many requests a second at the start.
+/// Endpoints that all reported the same limit at the start.
 fn limited(endpoints: &[&str], per_second: f64) -> Throttle {
     let mut throttle = Throttle::new(SenderRole::Scheduler, 0);
     for endpoint in endpoints {
-        name(&mut throttle, endpoint, per_second, START);
+        set_limit(&mut throttle, endpoint, per_second, START);
     }
     throttle
 }
 
-fn name(throttle: &mut Throttle, endpoint: &str, per_second: f64, now: Instant) {
+fn set_limit(throttle: &mut Throttle, endpoint: &str, per_second: f64, now: Instant) {
     let limit = Some(RateLimit::new(per_second).unwrap());
-    let (endpoint, asked) = (endpoint.into(), Instant(now.0 - 1));
+    let (endpoint, sent_at) = (endpoint.into(), Instant(now.0 - 1));
     throttle.on_report(
-        RateLimitReport { endpoint, started_at: 1, limit, sent_at: asked, received_at: now },
+        RateLimitReport { endpoint, started_at: 1, limit, sent_at, received_at: now },
         now,
     );
 }
 
-fn ask(asker: u32, endpoints: &[&str], max_wait: Duration) -> PermitRequest<u32> {
+fn permit_request(requester: u32, endpoints: &[&str], max_wait: Duration) -> PermitRequest<u32> {
     let endpoints = endpoints.iter().map(|name| (*name).into()).collect();
-    PermitRequest { requester: asker, service: "s".into(), endpoints, max_wait }
+    PermitRequest { requester, service: "s".into(), endpoints, max_wait }
 }
 
 fn granted(endpoint: &str) -> Permit {
@@ -44,14 +44,17 @@
 }
 
 #[gtest]
-fn one_that_cannot_wait_is_told_at_once() {
+fn requests_that_cannot_wait_are_decided_at_once() {
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&["e"], 1.0));
 
-    let early = queue.request(ask(1, &["e"], Duration::ZERO), &mut throttle, after_ms(500));
-    let due = queue.request(ask(2, &["e"], Duration::ZERO), &mut throttle, after_ms(1_100));
-    let next = queue.request(ask(3, &["e"], Duration::ZERO), &mut throttle, after_ms(1_200));
+    let early =
+        queue.request(permit_request(1, &["e"], Duration::ZERO), &mut throttle, after_ms(500));
+    let due =
+        queue.request(permit_request(2, &["e"], Duration::ZERO), &mut throttle, after_ms(1_100));
+    let next =
+        queue.request(permit_request(3, &["e"], Duration::ZERO), &mut throttle, after_ms(1_200));
 
-    // The interval is 1/0.95 s.
+    // The scheduler's share is 0.95, so the interval is 1/0.95 s.
     let retry_after = Duration::from_micros(552_631);
     expect_that!(early, some(eq(&Permit::Denied { retry_after })));
     expect_that!(due, some(eq(&granted("e"))));
@@ -59,11 +62,18 @@
 }
 
 #[gtest]
-fn one_that_waits_goes_before_one_that_came_later() {
+fn queued_requests_are_served_in_order() {
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&["e"], 1.0));
-    expect_that!(queue.request(ask(1, &["e"], SECOND * 3), &mut throttle, after_ms(100)), none());
-    expect_that!(queue.request(ask(2, &["e"], SECOND * 3), &mut throttle, after_ms(200)), none());
-    let later = queue.request(ask(3, &["e"], Duration::ZERO), &mut throttle, after_ms(1_060));
+    expect_that!(
+        queue.request(permit_request(1, &["e"], SECOND * 3), &mut throttle, after_ms(100)),
+        none()
+    );
+    expect_that!(
+        queue.request(permit_request(2, &["e"], SECOND * 3), &mut throttle, after_ms(200)),
+        none()
+    );
+    let later =
+        queue.request(permit_request(3, &["e"], Duration::ZERO), &mut throttle, after_ms(1_060));
 
     let first = queue.decide(&mut throttle, after_ms(1_060));
     let second = queue.decide(&mut throttle, after_ms(2_110));
@@ -74,64 +84,69 @@
 }
 
 #[gtest]
-fn one_whose_turn_would_come_too_late_is_refused_at_once() {
+fn requests_whose_wait_is_too_long_are_denied_at_once() {
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&["e"], 1.0));
-    let mut ask = |asker| queue.request(ask(asker, &["e"], SECOND * 3), &mut throttle, after_ms(0));
+    let mut request = |requester| {
+        queue.request(permit_request(requester, &["e"], SECOND * 3), &mut throttle, after_ms(0))
+    };
 
-    let told: Vec<_> = (0..5).map(&mut ask).collect();
+    let decisions: Vec<_> = (0..5).map(&mut request).collect();
 
-    expect_that!(told[..2], elements_are![none(), none()]);
-    expect_that!(told[2..], each(some(matches_pattern!(Permit::Denied { .. }))));
+    expect_that!(decisions[..2], elements_are![none(), none()]);
+    expect_that!(decisions[2..], each(some(matches_pattern!(Permit::Denied { .. }))));
 }
 
 #[gtest]
-fn those_who_are_refused_together_are_told_to_come_back_one_after_the_other() {
+fn retries_of_requests_denied_together_are_spread() {
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&["e"], 10.0));
-    let mut ask = |asker| queue.request(ask(asker, &["e"], Duration::ZERO), &mut throttle, START);
+    let mut request = |requester| {
+        queue.request(permit_request(requester, &["e"], Duration::ZERO), &mut throttle, START)
+    };
 
-    let told: Vec<Duration> = (0..10)
-        .filter_map(|asker| match ask(asker)? {
+    let decisions: Vec<Duration> = (0..10)
+        .filter_map(|requester| match request(requester)? {
             Permit::Denied { retry_after } => Some(retry_after),
             Permit::Granted(_) => None,
         })
         .collect();
 
-    expect_that!(told.len(), eq(10));
-    expect_true!(told.is_sorted());
-    expect_that!(told[9] - told[0], ge(Duration::from_millis(900)));
+    expect_that!(decisions.len(), eq(10));
+    expect_true!(decisions.is_sorted());
+    expect_that!(decisions[9] - decisions[0], ge(Duration::from_millis(900)));
 }
 
 #[gtest]
-fn leave_is_given_where_a_turn_comes_first() {
+fn the_endpoint_that_accepts_first_is_granted() {
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&["slow"], 0.5));
-    name(&mut throttle, "fast", 5.0, START);
-    queue.request(ask(1, &["slow", "fast"], SECOND), &mut throttle, after_ms(10));
+    set_limit(&mut throttle, "fast", 5.0, START);
+    queue.request(permit_request(1, &["slow", "fast"], SECOND), &mut throttle, after_ms(10));
 
     let due = queue.next_decision().unwrap();
-    let told = queue.decide(&mut throttle, due);
+    let decisions = queue.decide(&mut throttle, due);
 
-    expect_that!(told, elements_are![eq(&(1, granted("fast")))]);
+    expect_that!(decisions, elements_are![eq(&(1, granted("fast")))]);
 }
 
 #[gtest]
-fn who_has_left_is_given_nothing() {
+fn cancelled_requests_get_no_permit() {
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&["e"], 1.0));
-    queue.request(ask(1, &["e"], SECOND * 3), &mut throttle, START);
-    queue.request(ask(2, &["e"], SECOND * 3), &mut throttle, START);
+    queue.request(permit_request(1, &["e"], SECOND * 3), &mut throttle, START);
+    queue.request(permit_request(2, &["e"], SECOND * 3), &mut throttle, START);
 
-    queue.cancel(|asker| *asker == 1);
-    let told = queue.decide(&mut throttle, after_ms(1_100));
+    queue.cancel(|requester| *requester == 1);
+    let decisions = queue.decide(&mut throttle, after_ms(1_100));
 
-    expect_that!(told, elements_are![eq(&(2, granted("e")))]);
+    expect_that!(decisions, elements_are![eq(&(2, granted("e")))]);
 }
 
-/// A request that comes some time after the one before, at an endpoint that has lately named another limit.
+/// A request that arrives `pause_us` after the previous one, at an endpoint whose limit may have
+/// just changed.
 #[derive(Debug, Clone)]
 struct Arrival {
     pause_us: u64,
     max_wait_ms: u64,
     endpoint: usize,
-    /// Times the usual limit, if it names another one just now.
+    /// Factor by which the endpoint's limit changes now, if it does.
     factor: Option<f64>,
 }
 
@@ -147,39 +162,44 @@
     prop::collection::vec(arrival, 1..300)
 }
 
-/// Sends what arrives as the queue says; returns the endpoint and the time of each request.
-fn play(arrivals: &[Arrival], per_second: f64) -> Vec<(String, Instant)> {
+/// Runs the arrivals through a queue; returns the endpoint and time of each request sent.
+fn run(arrivals: &[Arrival], per_second: f64) -> Vec<(String, Instant)> {
     const NAMES: [&str; 3] = ["e0", "e1", "e2"];
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&NAMES, per_second));
     let (mut now, mut sent) = (START, Vec::new());
-    let mut note = |permit: Permit, now| {
+    let mut record = |permit: Permit, now| {
         if let Permit::Granted(endpoint) = permit {
             sent.push((endpoint.to_string(), now));
         }
     };
-    for (asker, arrival) in arrivals.iter().enumerate() {
+    for (requester, arrival) in arrivals.iter().enumerate() {
         let until = now.after(Duration::from_micros(arrival.pause_us));
         while let Some(due) = queue.next_decision().filter(|due| *due <= until) {
-            let told = queue.decide(&mut throttle, due.max(now));
-            told.into_iter().for_each(|(_, permit)| note(permit, due.max(now)));
+            let decisions = queue.decide(&mut throttle, due.max(now));
+            decisions.into_iter().for_each(|(_, permit)| record(permit, due.max(now)));
         }
         now = until;
         if let Some(factor) = arrival.factor {
-            name(&mut throttle, NAMES[arrival.endpoint], per_second * factor, now);
+            set_limit(&mut throttle, NAMES[arrival.endpoint], per_second * factor, now);
         }
         let max_wait = Duration::from_millis(arrival.max_wait_ms);
-        // Every second caller may go to any of them.
-        let endpoints = if asker % 2 == 0 { &NAMES[..] } else { &NAMES[arrival.endpoint..][..1] };
-        let permit = queue.request(ask(asker as u32, endpoints, max_wait), &mut throttle, now);
-        permit.into_iter().for_each(|permit| note(permit, now));
+        // Every second request accepts any endpoint.
+        let endpoints =
+            if requester % 2 == 0 { &NAMES[..] } else { &NAMES[arrival.endpoint..][..1] };
+        let permit = queue.request(
+            permit_request(requester as u32, endpoints, max_wait),
+            &mut throttle,
+            now,
+        );
+        permit.into_iter().for_each(|permit| record(permit, now));
     }
     sent
 }
 
 #[gtest]
-fn whatever_comes_no_endpoint_gets_more_than_it_takes_in_any_span_of_time() {
+fn no_endpoint_exceeds_its_limit_in_any_time_span() {
     proptest!(fixed_seed(300), |(arrivals in arrivals(), per_second in 0.3..20.0f64)| {
-        let sent = play(&arrivals, per_second);
+        let sent = run(&arrivals, per_second);
         let highest = arrivals.iter().filter_map(|arrival| arrival.factor).fold(1.0, f64::max);
         for endpoint in ["e0", "e1", "e2"] {
             let times: Vec<Instant> =
@@ -196,18 +216,18 @@
 }
 
 #[gtest]
-fn what_endpoints_take_is_used_while_more_is_asked_for() {
+fn limits_are_fully_used_under_overload() {
     let (mut queue, mut throttle) = (PermitQueue::default(), limited(&["e0", "e1"], 5.0));
     let mut sent = 0;
-    for asker in 0..1_000 {
-        let now = after_ms(10 * asker);
+    for requester in 0..1_000 {
+        let now = after_ms(10 * requester);
         sent += queue.decide(&mut throttle, now).len();
-        let ask = ask(asker as u32, &["e0", "e1"], SECOND / 4);
+        let req = permit_request(requester as u32, &["e0", "e1"], SECOND / 4);
         sent +=
-            usize::from(matches!(queue.request(ask, &mut throttle, now), Some(Permit::Granted(_))));
+            usize::from(matches!(queue.request(req, &mut throttle, now), Some(Permit::Granted(_))));
     }
 
-    // 10 a second for 10 s, of which 0.95 are sent; and the first interval.
+    // 10 per second for 10 s, of which the scheduler's share is 0.95, less the first interval.
     expect_that!(sent, ge(90));
     expect_that!(sent, le(100));
 }
--- a/crates/core/src/throttle/report.rs
+++ b/crates/core/src/throttle/report.rs
@@ -1,29 +1,30 @@
-//! What an endpoint has said in one answer.
+//! Rate limit reports of endpoints.
 
 use std::sync::Arc;
 
 use super::RateLimit;
 use crate::units::Instant;
 
-/// What an endpoint said of how much it takes: true at some time between the request and its answer.
+/// The rate limit that one response of an endpoint reported. It held at some time between the
+/// request and the response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RateLimitReport {
     /// Name of the endpoint.
     pub endpoint: Arc<str>,
-    /// When its run was started, by its own word; zero where it has not said.
+    /// Start time of the endpoint's run by its own clock; 0 if unknown.
     pub started_at: u64,
-    /// What it takes; nothing where it names no limit.
+    /// The limit, or `None` if the endpoint is not limited.
     pub limit: Option<RateLimit>,
     /// When the request was sent.
     pub sent_at: Instant,
-    /// When the answer was read.
+    /// When the response was received.
     pub received_at: Instant,
 }
 
 impl RateLimitReport {
-    /// Whether this holds in place of what another answer of the same run has said. Of two that may have been
-    /// given in either order the lower limit holds, until a later answer says otherwise.
-    pub(super) fn replaces(&self, known: &RateLimitReport) -> bool {
+    /// Whether this report supersedes `known`. If the two responses overlapped, so that their order
+    /// is unknown, the lower limit wins.
+    pub(super) fn supersedes(&self, known: &RateLimitReport) -> bool {
         if self.started_at != known.started_at {
             return known.started_at < self.started_at;
         }
@@ -33,7 +34,7 @@
         known.received_at <= self.sent_at || self.rate() <= known.rate()
     }
 
-    /// Requests a second; without a limit more than any.
+    /// Requests per second; infinite without a limit.
     fn rate(&self) -> f64 {
         self.limit.map_or(f64::INFINITY, RateLimit::per_second)
     }
--- a/crates/core/src/throttle/table.rs
+++ b/crates/core/src/throttle/table.rs
@@ -1,4 +1,4 @@
-//! What a sender knows of the limits that endpoints name, and when it may send to them.
+//! Known rate limits of endpoints and the pacing of requests to them.
 
 use std::{
     collections::HashMap,
@@ -7,35 +7,35 @@
     time::Duration,
 };
 
-use super::{RateLimit, RateLimitReport, turns::Turns};
+use super::{RateLimit, RateLimitReport, pacer::Pacer};
 use crate::{
     placement::{RateSplit, SenderRole},
     units::Instant,
 };
 
-/// Who sends which part of what an endpoint takes. What the scheduler leaves bears the differences of the ways
-/// that requests take; while some daemons reach it and others do not, both parts together are 1.45 times the limit.
+/// Shares of a limit. The scheduler leaves a margin for varying delivery times; while only some
+/// daemons reach it, the two shares add up to 1.45 times the limit.
 const RATE_SPLIT: RateSplit = RateSplit { scheduler: 0.95, daemons: 0.5 };
-/// A limit that differs from the one that was told by less than this part is no news.
-const NO_NEWS: f64 = 0.1;
-/// For so long it is known that an endpoint names no limit any more, against old word of one.
-const LIFTED_LIFE: Duration = Duration::from_secs(60);
+/// Changes of a limit by less than this fraction are not announced.
+const MIN_CHANGE_FRACTION: f64 = 0.1;
+/// How long a lifted limit is remembered, so that an older report cannot restore it.
+const LIFTED_LIMIT_TTL: Duration = Duration::from_secs(60);
 
-/// What came of an endpoint's word.
+/// Effect of a report on the announced limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitChange {
-    /// Nothing that others need to know.
+    /// Nothing to announce.
     None,
-    /// It names a limit for the first time.
+    /// The endpoint now has a limit.
     Set,
-    /// It names another one.
+    /// The limit changed.
     Updated,
-    /// It names none any more.
+    /// The limit was lifted.
     Lifted,
 }
 
 impl LimitChange {
-    /// Its name in log lines.
+    /// Name in log fields.
     pub fn as_str(self) -> &'static str {
         match self {
             LimitChange::None => "none",
@@ -46,149 +46,151 @@
     }
 }
 
-/// What is known of one endpoint.
+/// State of one endpoint.
 #[derive(Debug)]
-struct Known {
-    word: RateLimitReport,
-    /// The limit that others were last told.
-    told: Option<RateLimit>,
-    turns: Turns,
+struct Endpoint {
+    report: RateLimitReport,
+    /// The last announced limit.
+    announced: Option<RateLimit>,
+    pacer: Pacer,
 }
 
-/// The limits of endpoints, as one sender knows them.
+/// Rate limits of endpoints, and the pacing of one sender's requests.
 #[derive(Debug)]
 pub struct Throttle {
     senders: SenderRole,
-    /// Random number of a daemon that sends by itself.
+    /// Varies the phase of the pacing between daemons.
     seed: u64,
-    known: HashMap<Arc<str>, Known>,
+    known: HashMap<Arc<str>, Endpoint>,
 }
 
 impl Throttle {
-    /// No limits yet; the seed must be another one on each daemon that sends by itself.
+    /// Creates a table without limits. Daemons that send without a scheduler need different seeds.
     pub fn new(senders: SenderRole, seed: u64) -> Throttle {
         Throttle { senders, seed, known: HashMap::new() }
     }
 
-    /// Whether no endpoint has named a limit.
+    /// Whether no endpoint has reported a limit.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// The limit that an endpoint names.
+    /// The limit of an endpoint, if it has one.
     pub fn limit(&self, endpoint: &str) -> Option<RateLimit> {
-        self.known.get(endpoint)?.word.limit
+        self.known.get(endpoint)?.report.limit
     }
 
-    /// Number of the endpoints that name one.
+    /// Number of endpoints with a limit.
     pub fn limited_endpoints(&self) -> usize {
         self.reports().count()
     }
 
-    /// The word of every endpoint that names one.
+    /// Latest reports of all endpoints with a limit.
     pub fn reports(&self) -> impl Iterator<Item = &RateLimitReport> {
-        self.known.values().map(|known| &known.word).filter(|word| word.limit.is_some())
+        self.known.values().map(|known| &known.report).filter(|report| report.limit.is_some())
     }
 
-    /// What was last heard of an endpoint that names a limit, or has done so lately.
+    /// Latest report of an endpoint that has a limit or had one recently.
     pub fn report(&self, endpoint: &str) -> Option<&RateLimitReport> {
-        self.known.get(endpoint).map(|known| &known.word)
+        self.known.get(endpoint).map(|known| &known.report)
     }
 
-    /// Takes an endpoint's word.
-    pub fn on_report(&mut self, word: RateLimitReport, now: Instant) -> LimitChange {
-        let Some(known) = self.known.get_mut(&word.endpoint) else {
-            let Some(limit) = word.limit else { return LimitChange::None };
+    /// Applies a report, unless a newer one is known.
+    pub fn on_report(&mut self, report: RateLimitReport, now: Instant) -> LimitChange {
+        let Some(known) = self.known.get_mut(&report.endpoint) else {
+            let Some(limit) = report.limit else { return LimitChange::None };
             let interval = self.senders.interval(limit.interval(), RATE_SPLIT);
-            let turns = Turns::new(interval, self.senders.has_peers(), self.phase(&word), now);
-            let known = Known { told: word.limit, turns, word };
-            self.known.insert(known.word.endpoint.clone(), known);
+            let pacer = Pacer::new(interval, self.senders.has_peers(), self.phase(&report), now);
+            let known = Endpoint { announced: report.limit, pacer, report };
+            self.known.insert(known.report.endpoint.clone(), known);
             return LimitChange::Set;
         };
-        if !word.replaces(&known.word) {
+        if !report.supersedes(&known.report) {
             return LimitChange::None;
         }
-        if let Some(limit) = word.limit {
+        if let Some(limit) = report.limit {
             let interval = self.senders.interval(limit.interval(), RATE_SPLIT);
-            known.turns.space(interval, self.senders.has_peers(), now);
+            known.pacer.set_interval(interval, self.senders.has_peers(), now);
         }
-        known.word = word;
-        let change = match (known.told, known.word.limit) {
+        known.report = report;
+        let change = match (known.announced, known.report.limit) {
             (None, None) => LimitChange::None,
             (None, Some(_)) => LimitChange::Set,
             (Some(_), None) => LimitChange::Lifted,
-            (Some(told), Some(limit)) if is_news(told, limit) => LimitChange::Updated,
+            (Some(announced), Some(limit)) if is_significant_change(announced, limit) => {
+                LimitChange::Updated
+            }
             (Some(_), Some(_)) => LimitChange::None,
         };
         if change != LimitChange::None {
-            known.told = known.word.limit;
+            known.announced = known.report.limit;
         }
         change
     }
 
-    /// Takes with whom it shares what endpoints take.
+    /// Changes the share of each limit that this sender may use.
     pub fn set_sender_role(&mut self, senders: SenderRole, now: Instant) {
         if self.senders == senders {
             return;
         }
         self.senders = senders;
         for known in self.known.values_mut() {
-            let Some(limit) = known.word.limit else { continue };
+            let Some(limit) = known.report.limit else { continue };
             let interval = senders.interval(limit.interval(), RATE_SPLIT);
-            known.turns.space(interval, senders.has_peers(), now);
+            known.pacer.set_interval(interval, senders.has_peers(), now);
         }
     }
 
-    /// Forgets the word of endpoints that are not there any more, and of those that have named no limit for long.
-    pub fn retain(&mut self, is_there: impl Fn(&RateLimitReport) -> bool, now: Instant) {
-        self.known.retain(|_, Known { word, .. }| {
-            let is_old = LIFTED_LIFE < now.since(word.received_at);
-            is_there(word) && (word.limit.is_some() || !is_old)
+    /// Removes endpoints that `is_current` rejects, and limits that were lifted long ago.
+    pub fn retain(&mut self, is_current: impl Fn(&RateLimitReport) -> bool, now: Instant) {
+        self.known.retain(|_, Endpoint { report, .. }| {
+            let is_old = LIFTED_LIMIT_TTL < now.since(report.received_at);
+            is_current(report) && (report.limit.is_some() || !is_old)
         });
     }
 
-    /// Whether an endpoint may be sent a request now.
+    /// Whether the limit of an endpoint allows a request now.
     pub fn may_send(&self, endpoint: &str, now: Instant) -> bool {
-        self.turns(endpoint).is_none_or(|turns| turns.has_come(now))
+        self.pacer(endpoint).is_none_or(|pacer| pacer.is_ready(now))
     }
 
-    /// When an endpoint may be sent a request, at the earliest.
+    /// Earliest time at which the limit of an endpoint allows a request.
     pub fn next_send_at(&self, endpoint: &str, now: Instant) -> Instant {
-        self.turns(endpoint).map_or(now, |turns| turns.next(now))
+        self.pacer(endpoint).map_or(now, |pacer| pacer.next_send_at(now))
     }
 
-    /// Requests a second that this sender may send to an endpoint that names a limit.
+    /// Requests per second that this sender may send to a limited endpoint.
     pub(super) fn rate(&self, endpoint: &str) -> Option<f64> {
-        self.turns(endpoint).map(Turns::rate)
+        self.pacer(endpoint).map(Pacer::rate)
     }
 
-    /// Notes that an endpoint is sent a request.
+    /// Counts a request that is sent to an endpoint.
     pub fn on_sent(&mut self, endpoint: &str, now: Instant) {
         if let Some(known) = self.known.get_mut(endpoint) {
-            known.turns.sent(now);
+            known.pacer.on_sent(now);
         }
     }
 
-    fn turns(&self, endpoint: &str) -> Option<&Turns> {
+    fn pacer(&self, endpoint: &str) -> Option<&Pacer> {
         let known = self.known.get(endpoint)?;
-        known.word.limit.map(|_| &known.turns)
+        known.report.limit.map(|_| &known.pacer)
     }
 
-    /// The part of the time between two requests after which the first one is due. A scheduler waits for all of
-    /// it, since daemons have just sent what they did not know of; daemons draw one each, so that together they
-    /// send evenly.
-    fn phase(&self, word: &RateLimitReport) -> f64 {
+    /// Fraction of the interval after which the first request is due. The scheduler waits a whole
+    /// interval, since daemons may just have sent requests without knowing the limit; daemons use
+    /// random phases, so that their requests spread evenly.
+    fn phase(&self, report: &RateLimitReport) -> f64 {
         if !self.senders.has_peers() {
             return 1.0;
         }
         let mut hasher = DefaultHasher::new();
-        (self.seed, &word.endpoint, word.received_at.0).hash(&mut hasher);
+        (self.seed, &report.endpoint, report.received_at.0).hash(&mut hasher);
         hasher.finish() as f64 / u64::MAX as f64
     }
 }
 
-/// Whether a limit differs enough from the one that was told.
-fn is_news(told: RateLimit, limit: RateLimit) -> bool {
-    let (told, limit) = (told.per_second(), limit.per_second());
-    told.max(limit) * NO_NEWS < (told - limit).abs()
+/// Whether a limit differs enough from the announced one.
+fn is_significant_change(announced: RateLimit, limit: RateLimit) -> bool {
+    let (announced, limit) = (announced.per_second(), limit.per_second());
+    announced.max(limit) * MIN_CHANGE_FRACTION < (announced - limit).abs()
 }
