--- a/crates/core/src/backoff/circuit.rs
+++ b/crates/core/src/backoff/circuit.rs
@@ -1,63 +1,65 @@
-//! How many requests an endpoint is sent after it has rejected one.
+//! Circuit breaker of an endpoint that rejects requests.
 
 use std::time::Duration;
 
 use crate::units::Instant;
 
-/// An endpoint that rejects a request without naming a time is the last resort for this long, doubled after each
-/// rejection in a row: most of the time that a request waits for a place is left to go elsewhere.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-/// Longest of these pauses: by then one request asks again.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
-/// A request that is not answered for this long keeps no other from being sent: its end may have been lost.
-const ANSWER_LIMIT: Duration = Duration::from_secs(10);
-/// After so long without a rejection nothing is left of the last one, however few requests were answered since.
-const LIFE: Duration = Duration::from_secs(30);
-/// Unanswered requests at which an endpoint that answers again is as open as any other.
-const FULLY_OPEN: u32 = 16;
+/// First back-off after a rejection that names no time, doubled with each consecutive rejection. It
+/// leaves most of a request's queueing time to try other endpoints.
+const INITIAL_DEFAULT_BACKOFF: Duration = Duration::from_millis(250);
+/// Longest back-off after a rejection that names no time.
+const MAX_DEFAULT_BACKOFF: Duration = Duration::from_secs(4);
+/// After this time without a new request, unanswered ones no longer block others: their responses
+/// may be lost.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after the end of the back-off at which the circuit resets, however few requests were
+/// answered.
+const RESET_AFTER: Duration = Duration::from_secs(30);
+/// Limit of unanswered requests at which the circuit counts as reset.
+const MAX_UNANSWERED: u32 = 16;
 
-/// One endpoint that has rejected a request lately, as one sender sees it.
+/// Circuit breaker of one endpoint, as seen by one sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Circuit {
-    /// When it last rejected a request.
-    rejected: Instant,
-    /// Until then it is the last resort.
+    /// Time of the last rejection.
+    rejected_at: Instant,
+    /// Until then the endpoint is a last resort.
     until: Instant,
-    /// Rejections since it last answered.
+    /// Consecutive rejections.
     rejections: u32,
-    /// Requests sent since the last rejection that are not answered yet.
+    /// Requests sent since the last rejection that are still unanswered.
     unanswered: u32,
-    /// How many of them there may be.
+    /// Maximum of `unanswered`.
     allowed: u32,
-    /// When one was last sent.
-    sent: Instant,
+    /// When a request was last sent.
+    last_sent: Instant,
 }
 
 impl Circuit {
-    /// One that has rejected nothing.
+    /// Creates a circuit without rejections.
     pub(super) fn new() -> Circuit {
         let never = Instant::default();
         Circuit {
-            rejected: never,
+            rejected_at: never,
             until: never,
             rejections: 0,
             unanswered: 0,
-            allowed: FULLY_OPEN,
-            sent: never,
+            allowed: MAX_UNANSWERED,
+            last_sent: never,
         }
     }
 
-    /// Notes a rejection; for how long the endpoint wants no requests if it has said so.
+    /// Records a rejection with the back-off that the endpoint asked for, if any.
     pub(super) fn on_rejection(&mut self, retry_after: Option<Duration>, now: Instant) {
-        let pause = FIRST_PAUSE * 2u32.pow(self.rejections.min(8));
-        let pause = retry_after.unwrap_or(pause.min(LONGEST_PAUSE));
+        let backoff = INITIAL_DEFAULT_BACKOFF * 2u32.pow(self.rejections.min(8));
+        let backoff = retry_after.unwrap_or(backoff.min(MAX_DEFAULT_BACKOFF));
         self.rejections += 1;
-        self.close_until(now.after(pause), now);
+        self.trip_until(now.after(backoff), now);
     }
 
-    /// The endpoint is the last resort until then, and sent one request at a time.
-    pub(super) fn close_until(&mut self, until: Instant, now: Instant) {
-        self.rejected = now;
+    /// Makes the endpoint a last resort until then, with one unanswered request at a time.
+    pub(super) fn trip_until(&mut self, until: Instant, now: Instant) {
+        self.rejected_at = now;
         self.until = self.until.max(until);
         self.unanswered = 0;
         self.allowed = 1;
@@ -71,30 +73,31 @@
         now < self.until
     }
 
-    /// Whether one more request may be sent before others are answered.
+    /// Whether the limit of unanswered requests allows one more.
     pub(super) fn admits(&self, now: Instant) -> bool {
-        self.unanswered < self.allowed || ANSWER_LIMIT <= now.since(self.sent)
+        self.unanswered < self.allowed || RESPONSE_TIMEOUT <= now.since(self.last_sent)
     }
 
     pub(super) fn on_sent(&mut self, now: Instant) {
         self.unanswered = self.unanswered.saturating_add(1);
-        self.sent = now;
+        self.last_sent = now;
     }
 
-    /// A request that was sent then has ended; `answered` if the endpoint has begun to answer it.
+    /// A request sent at `sent` has ended; `answered` if the endpoint began to respond.
     pub(super) fn on_end(&mut self, sent: Instant, answered: bool) {
-        if sent <= self.rejected {
+        if sent <= self.rejected_at {
             return;
         }
         self.unanswered = self.unanswered.saturating_sub(1);
         if answered {
             self.rejections = 0;
-            self.allowed = (self.allowed * 2).min(FULLY_OPEN);
+            self.allowed = (self.allowed * 2).min(MAX_UNANSWERED);
         }
     }
 
-    /// Whether nothing is left of the rejection.
-    pub(super) fn is_over(&self, now: Instant) -> bool {
-        self.until <= now && (FULLY_OPEN <= self.allowed || LIFE <= now.since(self.until))
+    /// Whether the circuit has reset.
+    pub(super) fn is_reset(&self, now: Instant) -> bool {
+        self.until <= now
+            && (MAX_UNANSWERED <= self.allowed || RESET_AFTER <= now.since(self.until))
     }
 }
--- a/crates/core/src/backoff/circuit_tests.rs
+++ b/crates/core/src/backoff/circuit_tests.rs
@@ -1,4 +1,4 @@
-//! How an endpoint is opened again after it has rejected requests.
+//! Recovery of an endpoint's circuit after rejections.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
     Instant(1_000_000 + ms * 1_000)
 }
 
-/// One that rejected a request at the start and named this many milliseconds.
+/// A circuit with a rejection at time 0 that named this back-off.
 fn rejected(retry_after_ms: u64) -> Circuit {
     let mut circuit = Circuit::new();
     circuit.on_rejection(Some(Duration::from_millis(retry_after_ms)), ms(0));
     circuit
 }
 
-/// Requests that may be sent at the same time before one is answered.
+/// Requests that may be sent before one is answered.
 fn admitted(mut circuit: Circuit, now: Instant) -> usize {
     let mut count = 0;
     while circuit.admits(now) && count < 100 {
@@ -34,7 +34,7 @@
 }
 
 #[gtest]
-fn it_is_the_last_resort_for_the_time_that_it_names() {
+fn endpoint_is_a_last_resort_during_its_back_off() {
     let circuit = rejected(3_000);
 
     expect_true!(circuit.is_last_resort(ms(2_999)));
@@ -42,19 +42,19 @@
 }
 
 #[gtest]
-fn without_a_time_each_rejection_in_a_row_doubles_the_pause_up_to_a_bound() {
+fn default_back_off_doubles_up_to_a_maximum() {
     let mut circuit = Circuit::new();
-    let mut pauses = Vec::new();
+    let mut backoffs = Vec::new();
     let mut now = ms(0);
 
     for _ in 0..7 {
         circuit.on_rejection(None, now);
-        pauses.push(circuit.until().since(now).as_millis());
+        backoffs.push(circuit.until().since(now).as_millis());
         now = circuit.until();
     }
 
     expect_that!(
-        pauses,
+        backoffs,
         elements_are![
             eq(&250),
             eq(&500),
@@ -68,7 +68,7 @@
 }
 
 #[gtest]
-fn once_the_time_is_over_it_is_sent_one_request_and_twice_as_many_after_each_answer() {
+fn unanswered_limit_doubles_with_each_answer() {
     let mut circuit = rejected(100);
     let mut admitted_at_once = vec![admitted(circuit, ms(100))];
 
@@ -80,11 +80,11 @@
     }
 
     expect_that!(admitted_at_once, elements_are![eq(&1), eq(&2), eq(&4), eq(&8), eq(&16), eq(&16)]);
-    expect_true!(circuit.is_over(ms(200)));
+    expect_true!(circuit.is_reset(ms(200)));
 }
 
 #[gtest]
-fn a_request_that_ends_without_an_answer_makes_room_for_one_other() {
+fn unanswered_request_that_ends_admits_one_more() {
     let mut circuit = sent(rejected(100), ms(150));
 
     circuit.on_end(ms(150), false);
@@ -93,7 +93,7 @@
 }
 
 #[gtest]
-fn an_answer_to_a_request_from_before_the_rejection_says_nothing() {
+fn answers_to_requests_before_the_rejection_are_ignored() {
     let mut circuit = Circuit::new();
     circuit.on_sent(ms(0));
     circuit.on_rejection(Some(Duration::from_secs(1)), ms(10));
@@ -105,7 +105,7 @@
 }
 
 #[gtest]
-fn a_request_whose_end_is_never_told_keeps_no_other_away_for_long() {
+fn lost_responses_block_requests_for_a_limited_time() {
     let circuit = sent(rejected(100), ms(100));
 
     expect_false!(circuit.admits(ms(10_099)));
@@ -113,9 +113,9 @@
 }
 
 #[gtest]
-fn nothing_is_left_of_a_rejection_after_a_while() {
+fn circuit_resets_after_a_time() {
     let circuit = rejected(100);
 
-    expect_false!(circuit.is_over(ms(30_099)));
-    expect_true!(circuit.is_over(ms(30_100)));
+    expect_false!(circuit.is_reset(ms(30_099)));
+    expect_true!(circuit.is_reset(ms(30_100)));
 }
--- a/crates/core/src/backoff/mod.rs
+++ b/crates/core/src/backoff/mod.rs
@@ -1,9 +1,10 @@
-//! Endpoints that reject requests and ask for back-off.
+//! Back-off from endpoints that reject requests.
 //!
-//! An endpoint that rejects a request may say for how long it wants nothing from the daemon that sent it. That
-//! daemon keeps to it ([`BackoffTable::backoff_until`]), whoever chooses where its requests go. To all other daemons the
-//! endpoint is the last resort for that time: what one of them is told likely holds for the next as well. Once
-//! the time is over the endpoint is not sent everything at once: one request that is not answered yet, then two, and so on.
+//! A rejection may name a time for which the daemon that sent the request must back off. That
+//! daemon sends nothing until then ([`BackoffTable::backoff_until`]), wherever its requests are
+//! placed. Other daemons use the endpoint only as a last resort for that time, since they would
+//! likely be rejected as well. After the back-off the number of unanswered requests is limited: one
+//! at first, doubled with each answer.
 
 mod circuit;
 #[cfg(test)]
--- a/crates/core/src/backoff/rejection.rs
+++ b/crates/core/src/backoff/rejection.rs
@@ -1,14 +1,14 @@
-//! What an endpoint has rejected.
+//! Rejections of requests.
 
 use std::{sync::Arc, time::Duration};
 
-/// An endpoint has rejected a request: it certainly did not run there.
+/// A request that an endpoint rejected without executing it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rejection {
     /// Name of the endpoint.
     pub endpoint: Arc<str>,
-    /// When its run was started, by its own clock; zero where it has not said.
+    /// Start time of the endpoint's run by its own clock; 0 if unknown.
     pub started_at: u64,
-    /// For how much longer it wants nothing from the daemon that sent the request; nothing where it does not say.
+    /// Remaining back-off of the daemon that sent the request, if the endpoint named one.
     pub retry_after: Option<Duration>,
 }
--- a/crates/core/src/backoff/retry_after.rs
+++ b/crates/core/src/backoff/retry_after.rs
@@ -1,43 +1,43 @@
-//! The time that an endpoint names in `Retry-After`.
+//! Parsing of the `Retry-After` header.
 
 use std::{
     fmt,
     time::{Duration, SystemTime},
 };
 
-/// Longest back-off that is believed. After it one request asks again, so that an endpoint which names years
-/// by mistake is not lost until it restarts.
+/// Longest back-off that is honoured, so that an endpoint which names an excessive time by mistake
+/// is retried.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(300);
 
-/// How long an endpoint wants nothing from the daemon that it answers: [`MAX_BACKOFF`] at most.
+/// Back-off that an endpoint requests, at most [`MAX_BACKOFF`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RetryAfter(Duration);
 
-/// Why a text is no [`RetryAfter`].
+/// Why a value is not a valid `Retry-After`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InvalidRetryAfter {
-    /// It is neither a decimal number of seconds nor an HTTP date.
+    /// Neither a decimal number of seconds nor an HTTP date.
     InvalidFormat,
-    /// It is below zero.
+    /// Negative.
     Negative,
-    /// It is infinite or not a number.
+    /// Infinite or NaN.
     NotFinite,
-    /// It is given more than once.
+    /// More than one value was given.
     Repeated,
 }
 
 impl RetryAfter {
-    /// This time, or the longest that is believed.
+    /// Limits a time to [`MAX_BACKOFF`].
     pub fn new(time: Duration) -> RetryAfter {
         RetryAfter(time.min(MAX_BACKOFF))
     }
 
-    /// The only value among these, if there is any: seconds, fractions included, or an HTTP date (RFC 9110,
-    /// section 10.2.3). A date counts from the answer's own `Date`, since the clocks of both sides may differ,
-    /// or else from now.
+    /// Parses the values of the header, which may be given at most once: seconds with optional
+    /// fractions, or an HTTP date (RFC 9110, section 10.2.3). A date is relative to the response's
+    /// `Date` header if it has one, since clocks may differ, or else to `now`.
     pub fn from_values<'a>(
         mut values: impl Iterator<Item = &'a str>,
-        answered: Option<&str>,
+        response_date: Option<&str>,
         now: SystemTime,
     ) -> Result<Option<RetryAfter>, InvalidRetryAfter> {
         let Some(text) = values.next() else { return Ok(None) };
@@ -46,14 +46,14 @@
         }
         let text = text.trim();
         if let Ok(date) = httpdate::parse_http_date(text) {
-            let answered = answered.and_then(|text| httpdate::parse_http_date(text).ok());
-            let left = date.duration_since(answered.unwrap_or(now));
-            return Ok(Some(RetryAfter::new(left.unwrap_or_default())));
+            let response_date = response_date.and_then(|text| httpdate::parse_http_date(text).ok());
+            let remaining = date.duration_since(response_date.unwrap_or(now));
+            return Ok(Some(RetryAfter::new(remaining.unwrap_or_default())));
         }
         from_seconds(text.parse().map_err(|_| InvalidRetryAfter::InvalidFormat)?).map(Some)
     }
 
-    /// The time itself.
+    /// The back-off.
     pub fn duration(self) -> Duration {
         self.0
     }
--- a/crates/core/src/backoff/retry_after_tests.rs
+++ b/crates/core/src/backoff/retry_after_tests.rs
@@ -1,4 +1,4 @@
-//! `Retry-After` as endpoints write it, well and badly.
+//! Parsing of valid and invalid `Retry-After` values.
 
 use std::time::{Duration, SystemTime};
 
@@ -9,33 +9,33 @@
 /// Sunday, 6 November 1994, 08:49:37 UTC.
 const NOW: Duration = Duration::from_secs(784_111_777);
 
-fn read(values: &[&str]) -> std::result::Result<Option<Duration>, InvalidRetryAfter> {
-    read_answered(values, None)
+fn parse(values: &[&str]) -> std::result::Result<Option<Duration>, InvalidRetryAfter> {
+    parse_with_date(values, None)
 }
 
-fn read_answered(
+fn parse_with_date(
     values: &[&str],
-    answered: Option<&str>,
+    response_date: Option<&str>,
 ) -> std::result::Result<Option<Duration>, InvalidRetryAfter> {
     let now = SystemTime::UNIX_EPOCH + NOW;
-    let read = RetryAfter::from_values(values.iter().copied(), answered, now)?;
-    Ok(read.map(RetryAfter::duration))
+    let parsed = RetryAfter::from_values(values.iter().copied(), response_date, now)?;
+    Ok(parsed.map(RetryAfter::duration))
 }
 
 #[gtest]
-fn seconds_are_read_with_fractions() {
-    expect_that!(read(&["3"]), ok(some(eq(Duration::from_secs(3)))));
-    expect_that!(read(&[" 0.25 "]), ok(some(eq(Duration::from_millis(250)))));
-    expect_that!(read(&["0"]), ok(some(eq(Duration::ZERO))));
-    expect_that!(read(&[]), ok(none()));
+fn fractional_seconds_are_parsed() {
+    expect_that!(parse(&["3"]), ok(some(eq(Duration::from_secs(3)))));
+    expect_that!(parse(&[" 0.25 "]), ok(some(eq(Duration::from_millis(250)))));
+    expect_that!(parse(&["0"]), ok(some(eq(Duration::ZERO))));
+    expect_that!(parse(&[]), ok(none()));
 }
 
 #[gtest]
-fn a_date_counts_from_that_of_the_answer_or_from_now() {
-    let later = read(&["Sun, 06 Nov 1994 08:49:40 GMT"]);
-    let past = read(&["Sun, 06 Nov 1994 08:49:30 GMT"]);
+fn dates_are_relative_to_the_response_date_or_now() {
+    let later = parse(&["Sun, 06 Nov 1994 08:49:40 GMT"]);
+    let past = parse(&["Sun, 06 Nov 1994 08:49:30 GMT"]);
     let slow_clock =
-        read_answered(&["Sun, 06 Nov 1994 07:00:02 GMT"], Some("Sun, 06 Nov 1994 07:00:00 GMT"));
+        parse_with_date(&["Sun, 06 Nov 1994 07:00:02 GMT"], Some("Sun, 06 Nov 1994 07:00:00 GMT"));
 
     expect_that!(later, ok(some(eq(Duration::from_secs(3)))));
     expect_that!(past, ok(some(eq(Duration::ZERO))));
@@ -43,19 +43,19 @@
 }
 
 #[gtest]
-fn no_more_than_the_longest_back_off_is_believed() {
-    expect_that!(read(&["3600"]), ok(some(eq(MAX_BACKOFF))));
-    expect_that!(read(&["1e300"]), ok(some(eq(MAX_BACKOFF))));
-    expect_that!(read(&["Sat, 06 Nov 2094 08:49:37 GMT"]), ok(some(eq(MAX_BACKOFF))));
+fn back_off_is_capped() {
+    expect_that!(parse(&["3600"]), ok(some(eq(MAX_BACKOFF))));
+    expect_that!(parse(&["1e300"]), ok(some(eq(MAX_BACKOFF))));
+    expect_that!(parse(&["Sat, 06 Nov 2094 08:49:37 GMT"]), ok(some(eq(MAX_BACKOFF))));
 }
 
 #[gtest]
-fn what_is_no_time_is_told_apart() {
-    expect_that!(read(&[""]), err(eq(InvalidRetryAfter::InvalidFormat)));
-    expect_that!(read(&["soon"]), err(eq(InvalidRetryAfter::InvalidFormat)));
-    expect_that!(read(&["-1"]), err(eq(InvalidRetryAfter::Negative)));
-    expect_that!(read(&["NaN"]), err(eq(InvalidRetryAfter::NotFinite)));
-    expect_that!(read(&["inf"]), err(eq(InvalidRetryAfter::NotFinite)));
-    expect_that!(read(&["1e999"]), err(eq(InvalidRetryAfter::NotFinite)));
-    expect_that!(read(&["3", "3"]), err(eq(InvalidRetryAfter::Repeated)));
+fn invalid_values_are_rejected_with_a_reason() {
+    expect_that!(parse(&[""]), err(eq(InvalidRetryAfter::InvalidFormat)));
+    expect_that!(parse(&["soon"]), err(eq(InvalidRetryAfter::InvalidFormat)));
+    expect_that!(parse(&["-1"]), err(eq(InvalidRetryAfter::Negative)));
+    expect_that!(parse(&["NaN"]), err(eq(InvalidRetryAfter::NotFinite)));
+    expect_that!(parse(&["inf"]), err(eq(InvalidRetryAfter::NotFinite)));
+    expect_that!(parse(&["1e999"]), err(eq(InvalidRetryAfter::NotFinite)));
+    expect_that!(parse(&["3", "3"]), err(eq(InvalidRetryAfter::Repeated)));
 }
--- a/crates/core/src/backoff/retry_spreader.rs
+++ b/crates/core/src/backoff/retry_spreader.rs
@@ -1,18 +1,17 @@
-//! When callers may come back that were refused together.
+//! Spreads the retries of callers that are refused together.
 
 use std::time::Duration;
 
 use crate::units::Instant;
 
-/// Those that were refused within this time are counted into when the next one may come back, so that they do not
-/// all come at the same moment.
-const TOGETHER: Duration = Duration::from_secs(1);
-/// Requests a second that one endpoint is expected to take of those that come back.
-const RETURNS_PER_ENDPOINT: f64 = 2.0;
-/// Longest time over which their return is spread.
-const LONGEST_SPREAD: Duration = Duration::from_secs(4);
+/// Window in which refusals are counted together.
+const REFUSAL_WINDOW: Duration = Duration::from_secs(1);
+/// Retries per second that one endpoint is expected to accept.
+const RETRIES_PER_ENDPOINT: f64 = 2.0;
+/// Longest delay added to a retry.
+const MAX_SPREAD: Duration = Duration::from_secs(4);
 
-/// Callers that were refused shortly one after the other.
+/// Counts recent refusals to delay each retry more than the one before.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RetrySpreader {
     count: u32,
@@ -20,20 +19,22 @@
 }
 
 impl RetrySpreader {
-    /// Counts one more; returns how much later than the first one it may come back to so many endpoints.
+    /// Counts a refusal and returns the additional delay of its retry, given the number of
+    /// endpoints.
     pub fn next_delay(&mut self, endpoints: usize, now: Instant) -> Duration {
-        let per_second = RETURNS_PER_ENDPOINT * endpoints.max(1) as f64;
-        if TOGETHER <= now.since(self.since) {
+        let retries_per_second = RETRIES_PER_ENDPOINT * endpoints.max(1) as f64;
+        if REFUSAL_WINDOW <= now.since(self.since) {
             *self = RetrySpreader { count: 0, since: now };
         }
-        let before = f64::from(self.count);
+        let refused_before = f64::from(self.count);
         self.count += 1;
-        let later = Duration::try_from_secs_f64(before / per_second).unwrap_or(LONGEST_SPREAD);
-        later.min(LONGEST_SPREAD)
+        let delay =
+            Duration::try_from_secs_f64(refused_before / retries_per_second).unwrap_or(MAX_SPREAD);
+        delay.min(MAX_SPREAD)
     }
 
-    /// Whether the next one is counted anew.
+    /// Whether the window has passed, so that the next refusal starts a new one.
     pub fn is_expired(&self, now: Instant) -> bool {
-        TOGETHER <= now.since(self.since)
+        REFUSAL_WINDOW <= now.since(self.since)
     }
 }
--- a/crates/core/src/backoff/table_tests.rs
+++ b/crates/core/src/backoff/table_tests.rs
@@ -1,4 +1,4 @@
-//! Which daemon may send to an endpoint that has rejected requests.
+//! Admission to endpoints that rejected requests.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 }
 
 #[gtest]
-fn it_gets_nothing_of_the_daemon_that_it_has_asked_and_little_of_others() {
+fn asked_daemon_backs_off_and_others_use_it_last() {
     let table = rejected(D1, Some(3_000));
 
     expect_that!(table.admission("e", D1, ms(2_999)), eq(Admission::BackedOff(ms(3_000))));
@@ -38,7 +38,7 @@
 }
 
 #[gtest]
-fn a_rejection_without_a_time_closes_it_to_nobody() {
+fn rejection_without_a_time_makes_a_last_resort() {
     let table = rejected(D1, None);
 
     expect_that!(table.admission("e", D1, ms(10)), eq(Admission::LastResort));
@@ -46,14 +46,14 @@
 }
 
 #[gtest]
-fn zero_seconds_ask_for_nothing() {
+fn zero_seconds_cause_no_back_off() {
     let table = rejected(D1, Some(0));
 
     expect_that!(table.admission("e", D1, ms(0)), eq(Admission::Allowed));
 }
 
 #[gtest]
-fn of_several_answers_the_latest_end_holds() {
+fn latest_back_off_end_applies() {
     let mut table = rejected(D1, Some(3_000));
 
     table.on_rejection(D1, &rejection(RUN, Some(100)), ms(10));
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn an_answer_lifts_no_back_off() {
+fn answers_do_not_end_a_back_off() {
     let mut table = rejected(D1, Some(3_000));
     table.on_sent("e", ms(1));
 
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn a_new_run_has_asked_for_nothing() {
+fn new_run_starts_without_back_off() {
     let mut table = rejected(D1, Some(3_000));
 
     table.on_rejection(D2, &rejection(RUN + 1, None), ms(10));
@@ -82,7 +82,7 @@
 }
 
 #[gtest]
-fn runs_and_daemons_that_are_gone_are_forgotten() {
+fn removed_runs_and_daemons_are_dropped() {
     let mut of_run = rejected(D1, Some(3_000));
     let mut of_daemon = rejected(D1, Some(3_000));
 
@@ -94,7 +94,7 @@
 }
 
 #[gtest]
-fn others_are_told_once_and_of_what_lasts() {
+fn only_significant_extensions_are_announced() {
     let mut table = rejected(D1, Some(3_000));
     let first = table.take_pending_report("e", ms(0));
     table.on_rejection(D2, &rejection(RUN, Some(3_000)), ms(100));
@@ -107,7 +107,7 @@
 }
 
 #[gtest]
-fn a_daemon_that_is_told_sends_there_last() {
+fn reported_endpoint_is_a_last_resort() {
     let mut table = BackoffTable::default();
 
     table.on_report(&"e".into(), RUN, Duration::from_secs(3), ms(0));
@@ -117,7 +117,7 @@
 }
 
 #[gtest]
-fn nothing_is_kept_of_what_is_over() {
+fn expired_entries_are_removed() {
     let mut table = rejected(D1, Some(3_000));
 
     table.expire(ms(40_000));
@@ -125,7 +125,7 @@
     expect_true!(table.is_empty());
 }
 
-/// What happens to the endpoint: a rejection by the run of this number, a while after the event before.
+/// A rejection by the run of this number, `pause_ms` after the previous event.
 #[derive(Debug, Clone, Copy)]
 struct Event {
     pause_ms: u64,
@@ -149,28 +149,28 @@
 proptest! {
     #![proptest_config(fixed_seed(300))]
 
-    /// Whatever comes in whatever order: a daemon is kept away exactly as long as a rejection of the present run
-    /// has asked it for.
+    /// A daemon backs off exactly as long as rejections of the current run asked it to, in any
+    /// order of events.
     #[test]
-    fn a_daemon_is_kept_away_for_as_long_as_it_was_asked_to(events in events()) {
+    fn daemon_backs_off_exactly_as_long_as_asked(events in events()) {
         let mut table = BackoffTable::default();
-        let mut asked: Vec<(u64, Instant)> = Vec::new();
+        let mut backoffs: Vec<(u64, Instant)> = Vec::new();
         let (mut now, mut run) = (0, 0);
         for event in events {
             now += event.pause_ms;
             table.on_rejection(event.daemon, &rejection(event.run, event.retry_after_ms), ms(now));
             if run < event.run {
                 run = event.run;
-                asked.clear();
+                backoffs.clear();
             }
             if let Some(time) = event.retry_after_ms.filter(|_| event.run == run) {
-                asked.push((event.daemon, ms(now + time)));
+                backoffs.push((event.daemon, ms(now + time)));
             }
             if now.is_multiple_of(3) {
                 table.expire(ms(now));
             }
             for daemon in 0..4 {
-                let of_daemon = asked.iter().filter(|(of, until)| *of == daemon && ms(now) < *until);
+                let of_daemon = backoffs.iter().filter(|(of, until)| *of == daemon && ms(now) < *until);
                 let until = of_daemon.map(|(_, until)| *until).max();
                 prop_assert_eq!(table.backoff_until("e", daemon, ms(now)), until);
             }
