--- a/crates/core/src/quarantine/digest.rs
+++ b/crates/core/src/quarantine/digest.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same.
+//! Digests that identify requests by content.
 
 use std::fmt;
 
@@ -7,37 +7,37 @@
 
 use crate::units::Hex;
 
-/// Length of a digest in bytes: nobody finds a second request with the digest of another.
+/// Digest length in bytes; long enough to rule out collisions.
 const LENGTH: usize = 16;
-/// Keeps these digests apart from other uses of the daemons' key.
+/// Separates these digests from other uses of the key.
 const PURPOSE: &[u8] = b"trayswitch request digest 1";
 
-/// What two tries of one request have in common. Ids, deadlines and credentials differ from try to
-/// try and are not part of it.
+/// The parts of a request that all its attempts have in common. Ids, deadlines and credentials
+/// differ between attempts and are excluded.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestIdentity<'a> {
     /// HTTP method.
     pub method: &'a str,
     /// Path with the query.
     pub path: &'a str,
-    /// Who asks; nobody on a route that takes callers without a key.
+    /// The calling workspace; `None` on routes that accept callers without a key.
     pub workspace: Option<&'a str>,
-    /// The whole body.
+    /// The complete body.
     pub body: &'a [u8],
 }
 
-/// Names a request by its content. It is keyed: without the daemons' key nobody can tell from a log
-/// line what a request held.
+/// Identifies a request by a keyed digest of its content. Without the daemons' key the content
+/// cannot be derived from digests in logs.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct RequestDigest([u8; LENGTH]);
 
 impl RequestDigest {
-    /// Reads a digest from a message.
+    /// Decodes a digest from a message.
     pub fn from_slice(bytes: &[u8]) -> Option<RequestDigest> {
         bytes.try_into().ok().map(RequestDigest)
     }
 
-    /// Reads a digest as operators write it.
+    /// Parses a digest in hexadecimal.
     pub fn parse(text: &str) -> Option<RequestDigest> {
         if text.len() != 2 * LENGTH || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return None;
@@ -47,7 +47,7 @@
         RequestDigest::from_slice(&bytes?)
     }
 
-    /// Its bytes.
+    /// The digest as bytes.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
@@ -65,12 +65,12 @@
     }
 }
 
-/// Makes digests that are the same on all daemons of a deployment.
+/// Computes digests with the key that all daemons of a deployment share.
 #[derive(Clone)]
 pub struct DigestKey(Hmac<Sha256>);
 
 impl DigestKey {
-    /// Digests by the key that the daemons share.
+    /// Derives the key for digests from the daemons' shared key.
     pub fn new(peer_key: &[u8]) -> DigestKey {
         let mac = Hmac::<Sha256>::new_from_slice(peer_key);
         let mut mac = mac.expect("a key may have any length");
@@ -78,11 +78,11 @@
         DigestKey(mac)
     }
 
-    /// The digest of a request.
+    /// Computes the digest of a request.
     pub fn digest(&self, req: &RequestIdentity<'_>) -> RequestDigest {
         let mut mac = self.0.clone();
         let workspace = req.workspace.map(str::as_bytes);
-        // The lengths keep the end of one part apart from the begin of the next.
+        // Length prefixes make the encoding unambiguous.
         let parts = [req.method.as_bytes(), req.path.as_bytes(), workspace.unwrap_or_default()];
         mac.update(&[u8::from(workspace.is_some())]);
         for part in parts {
--- a/crates/core/src/quarantine/digest_tests.rs
+++ b/crates/core/src/quarantine/digest_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what makes two requests the same.
+//! Identity of requests by digest.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -12,7 +12,7 @@
 }
 
 #[gtest]
-fn a_request_is_known_again() {
+fn equal_requests_have_equal_digests() {
     let first = digest("POST", "/a/b", Some("w"), b"body");
 
     expect_that!(digest("POST", "/a/b", Some("w"), b"body"), eq(first));
@@ -21,14 +21,14 @@
 }
 
 #[gtest]
-fn what_is_no_digest_is_not_taken_for_one() {
+fn invalid_digests_are_rejected() {
     for text in ["", "12", &"0g".repeat(16), &"+1".repeat(16), &"é".repeat(16)] {
         expect_that!(RequestDigest::parse(text), none(), "{text}");
     }
 }
 
 #[gtest]
-fn daemons_with_another_key_name_it_otherwise() {
+fn digests_depend_on_the_key() {
     let req = RequestIdentity { method: "POST", path: "/", workspace: None, body: b"body" };
 
     let other = DigestKey::new(b"another key").digest(&req);
@@ -37,15 +37,15 @@
 }
 
 #[gtest]
-fn nobody_is_not_the_workspace_without_a_name() {
+fn missing_and_empty_workspace_differ() {
     expect_that!(digest("POST", "/", Some(""), b""), not(eq(digest("POST", "/", None, b""))));
 }
 
 proptest! {
     #![proptest_config(fixed_seed(300))]
 
-    /// Two requests have one digest only if all their parts are equal, also where the parts of one,
-    /// written behind each other, are those of the other.
+    /// Requests have the same digest only if all their parts are equal, even where the concatenated
+    /// parts are the same.
     #[test]
     fn different_requests_have_different_digests(
         text in "[ab/]{0,12}",
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -1,13 +1,14 @@
-//! Requests that endpoints end under.
+//! Quarantine of requests that are suspected of crashing endpoints.
 //!
-//! An endpoint that ends takes all with it that runs there, so its end says little of one request.
-//! A request that has been at several ends says more, and most where it ran again under watch: as the
-//! only try of it anywhere, and with as little beside it as can be. Such a run is a *trial*.
+//! A crash interrupts every request that runs on the endpoint, so one crash says little about a
+//! single request. A request that was running during several crashes is more suspect, most of all
+//! if it was retried in a *trial*: as its only attempt anywhere and, if needed, isolated from other
+//! requests.
 //!
-//! - [`RequestDigest`] names a request, whichever try and whichever daemon it comes through;
-//! - [`SuspectTable`] is what the control VMs agree on: under which requests endpoints have ended;
+//! - [`RequestDigest`] identifies a request across attempts and daemons;
+//! - [`SuspectTable`] is the replicated table of suspects and their crashes;
 //! - [`SuspectCache`] is a daemon's copy of it;
-//! - [`TrialQueue`] lets one try of a suspect run at a time, on the leader.
+//! - [`TrialQueue`] runs on the leader and serializes the attempts of each suspect.
 
 mod digest;
 #[cfg(test)]
--- a/crates/core/src/quarantine/suspect_cache.rs
+++ b/crates/core/src/quarantine/suspect_cache.rs
@@ -1,76 +1,76 @@
-//! A daemon's copy of the records.
+//! A daemon's copy of the suspect table.
 
 use std::collections::BTreeMap;
 
 use super::{CrashCounts, RequestDigest, SuspectCacheState};
 use crate::wire::{SuspectChange, SuspectNews};
 
-/// How the requests stand under which endpoints have ended, as a daemon was told.
+/// Crash counts of suspects, as received from the leader.
 #[derive(Debug)]
 pub(crate) struct SuspectCache {
     state: SuspectCacheState,
-    standings: BTreeMap<RequestDigest, CrashCounts>,
+    suspects: BTreeMap<RequestDigest, CrashCounts>,
 }
 
 impl Default for SuspectCache {
     fn default() -> SuspectCache {
         SuspectCache {
             state: SuspectCacheState { revision: 0, initializing: true },
-            standings: BTreeMap::new(),
+            suspects: BTreeMap::new(),
         }
     }
 }
 
 impl SuspectCache {
-    /// How much is known.
+    /// State of the cache, which determines the changes to request.
     pub(crate) fn state(&self) -> SuspectCacheState {
         self.state
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.standings.is_empty()
+        self.suspects.is_empty()
     }
 
     pub(crate) fn crash_counts(&self, request: &RequestDigest) -> CrashCounts {
-        self.standings.get(request).copied().unwrap_or_default()
+        self.suspects.get(request).copied().unwrap_or_default()
     }
 
-    /// How many are known, and how many of them are kept from endpoints.
+    /// Numbers of suspects and of quarantined requests.
     pub(crate) fn counts(&self) -> (usize, usize) {
-        let quarantined = self.standings.values().filter(|standing| standing.is_quarantined());
-        (self.standings.len(), quarantined.count())
+        let quarantined = self.suspects.values().filter(|crashes| crashes.is_quarantined());
+        (self.suspects.len(), quarantined.count())
     }
 
-    /// Takes what has changed; tells whether that is anything. What does not follow on what is known
-    /// is left for the next answer to a poll, which does.
+    /// Applies changes; returns whether the cache changed. Changes that do not follow on the known
+    /// revision are skipped, since the next poll reply contains them.
     pub(crate) fn apply(&mut self, news: &SuspectNews) -> bool {
-        let SuspectCacheState { revision: known, initializing: filling } = self.state;
+        let SuspectCacheState { revision: known, initializing } = self.state;
         if news.reset {
-            self.standings.clear();
+            self.suspects.clear();
         } else if known < news.after || news.up_to < known {
             return false;
         }
-        let is_news = news.reset || known < news.up_to;
-        let filling = (news.reset || filling) && news.more;
-        self.state = SuspectCacheState { revision: news.up_to, initializing: filling };
+        let is_new = news.reset || known < news.up_to;
+        let initializing = (news.reset || initializing) && news.more;
+        self.state = SuspectCacheState { revision: news.up_to, initializing };
         for change in &news.changes {
             self.apply_change(change);
         }
-        is_news
+        is_new
     }
 
-    /// Forgets a request that the leader has said is no suspect any more.
+    /// Removes a request that the leader has cleared.
     pub(crate) fn remove(&mut self, request: &RequestDigest) {
-        self.standings.remove(request);
+        self.suspects.remove(request);
     }
 
     fn apply_change(&mut self, change: &SuspectChange) {
         let Some(request) = RequestDigest::from_slice(&change.request) else { return };
-        let standing = CrashCounts { total: change.ended, in_trials: change.in_trials };
-        if standing.is_suspect() {
-            self.standings.insert(request, standing);
+        let crashes = CrashCounts { total: change.ended, in_trials: change.in_trials };
+        if crashes.is_suspect() {
+            self.suspects.insert(request, crashes);
         } else {
-            self.standings.remove(&request);
+            self.suspects.remove(&request);
         }
     }
 }
--- a/crates/core/src/quarantine/suspect_record.rs
+++ b/crates/core/src/quarantine/suspect_record.rs
@@ -1,82 +1,81 @@
-//! What is known of one request under which endpoints have ended.
+//! Crash history of one suspect.
 
 use std::time::Duration;
 
 use super::RequestDigest;
 use crate::units::UnixMillis;
 
-/// So many endpoints have ended under a request when it is sent to none any more, if enough of them ended
-/// in trials. Two could be chance on a day on which engines fail in numbers; users bear three.
-const ENDS_TO_QUARANTINE: u32 = 3;
-/// So many of them must have ended in trials. Tries at the same time may all end with one rack, and a
-/// popular request is at many ends of a bad minute; a trial is one run, after the suspicion. One trial
-/// could still meet the end of an engine that fails by itself.
-const TRIALS_TO_QUARANTINE: u32 = 2;
-/// From so many ends on a trial runs apart from others: of those that were at one end, up to 48 at once on
-/// the users' engines, all but one are innocent, and an engine for each would leave none for the others.
-const ENDS_TO_RUN_APART: u32 = 2;
-/// A suspect under which nothing has ended for this long is no longer one. Callers that repeat a
-/// request do so within minutes.
-pub(super) const SUSPECT_LIFE: Duration = Duration::from_secs(600);
-/// A request is kept from endpoints for this long after the last end, and then gets one trial more:
-/// time for operators to mend or replace what it ends, and at most one end more in an hour if they do not.
-pub(super) const QUARANTINE_LIFE: Duration = Duration::from_secs(3_600);
-/// Ends of which the endpoint's run is kept, to know the same end again when another daemon tells of it.
-const RUNS_KEPT: usize = 8;
-
-/// Runs of an endpoint that cannot be told apart are the same if their ends were seen within this time, in
-/// ms: far over the differences between the clocks of daemons, and less than an endpoint takes to start
-/// and end again.
-const SAME_END: u64 = 1_000;
-
-/// A run of an endpoint that has ended.
+/// Crashes after which a request is quarantined, if enough of them were in trials. Fewer could be
+/// coincidence while many engines fail.
+const QUARANTINE_CRASHES: u32 = 3;
+/// Crashes in trials that quarantine requires. Concurrent attempts may all be interrupted by one
+/// failing rack, and a popular request is interrupted by many unrelated crashes. A single trial may
+/// still meet an unrelated crash.
+const QUARANTINE_TRIAL_CRASHES: u32 = 2;
+/// Crashes from which trials are isolated. After a single crash most of the requests that were
+/// interrupted are innocent, and isolating each would take too many engines.
+const ISOLATION_CRASHES: u32 = 2;
+/// Time without a crash after which a request is no longer a suspect.
+pub(super) const SUSPECT_TTL: Duration = Duration::from_secs(600);
+/// Time in quarantine, after which one more trial is allowed: operators can intervene, and a
+/// request that still crashes endpoints does so once per period.
+pub(super) const QUARANTINE_DURATION: Duration = Duration::from_secs(3_600);
+/// Crashes remembered per request to recognize duplicate reports.
+const MAX_RUNS: usize = 8;
+
+/// Reports on runs without a known start are about the same crash if detected within this time, in
+/// ms: more than the clock skew between daemons, and less than an endpoint needs to restart and
+/// crash again.
+const DUPLICATE_WINDOW_MS: u64 = 1_000;
+
+/// A run of an endpoint that crashed.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct CrashedRun {
     /// Name of the endpoint.
     #[prost(string, tag = "1")]
     pub endpoint: String,
-    /// When the run was started, by its own word; zero where it has not said.
+    /// Start time of the run by its own clock; 0 if unknown.
     #[prost(uint64, tag = "2")]
     pub started_at: u64,
-    /// When its end was seen, in ms since the Unix epoch, where name and start do not tell one run of the
-    /// endpoint from the next; else zero.
+    /// When the crash was detected, in ms since the Unix epoch, if name and start do not identify
+    /// the run; else 0.
     #[prost(uint64, tag = "3")]
     pub detected_ms: u64,
 }
 
 impl CrashedRun {
     fn is_same(&self, other: &CrashedRun) -> bool {
-        let is_at_once = self.detected_ms.abs_diff(other.detected_ms) < SAME_END;
-        self.endpoint == other.endpoint && self.started_at == other.started_at && is_at_once
+        let is_close = self.detected_ms.abs_diff(other.detected_ms) < DUPLICATE_WINDOW_MS;
+        self.endpoint == other.endpoint && self.started_at == other.started_at && is_close
     }
 }
 
-/// How a request stands.
+/// Crashes that interrupted a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CrashCounts {
-    /// Endpoints that have ended under it.
+    /// All crashes.
     pub total: u32,
-    /// Those of them that ended in trials.
+    /// Crashes that interrupted a trial.
     pub in_trials: u32,
 }
 
 impl CrashCounts {
-    /// Whether any endpoint has ended under it.
+    /// Whether any crash interrupted the request.
     pub fn is_suspect(self) -> bool {
         0 < self.total
     }
 
-    /// Whether it is sent to no endpoint.
+    /// Whether the request is quarantined.
     pub fn is_quarantined(self) -> bool {
-        ENDS_TO_QUARANTINE <= self.total && TRIALS_TO_QUARANTINE <= self.in_trials
+        QUARANTINE_CRASHES <= self.total && QUARANTINE_TRIAL_CRASHES <= self.in_trials
     }
 
-    /// Whether its trials run apart from other requests.
+    /// Whether trials of the request must be isolated from other requests.
     pub fn needs_isolation(self) -> bool {
-        ENDS_TO_RUN_APART <= self.total
+        ISOLATION_CRASHES <= self.total
     }
 
-    /// The higher of two counts of each kind.
+    /// The maximum of each count.
     pub(crate) fn max(self, other: CrashCounts) -> CrashCounts {
         CrashCounts {
             total: self.total.max(other.total),
@@ -84,21 +83,21 @@
         }
     }
 
-    /// With one end more.
+    /// Adds one crash.
     pub(crate) fn with_crash(self, in_trial: bool) -> CrashCounts {
         CrashCounts { total: self.total + 1, in_trials: self.in_trials + u32::from(in_trial) }
     }
 }
 
-/// What the control VMs keep of one request.
+/// The replicated record of one suspect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct SuspectRecord {
     pub(super) crashes: CrashCounts,
-    /// The last runs that ended under it, the newest last.
+    /// The most recently crashed runs, newest last.
     pub(super) runs: Vec<CrashedRun>,
-    /// When the last of them ended, by the log's clock.
+    /// Time of the last crash or release, by the replicated log's clock.
     pub(super) updated_at: UnixMillis,
-    /// Number of the change that made it so.
+    /// Revision of the table at the last change of this record.
     pub(super) revision: u64,
 }
 
@@ -112,12 +111,12 @@
         }
     }
 
-    /// Counts an end, unless it is known; tells whether it was not.
-    pub(super) fn end(&mut self, run: &CrashedRun, in_trial: bool, now: UnixMillis) -> bool {
+    /// Adds a crash; returns `false` if it is already known.
+    pub(super) fn add_crash(&mut self, run: &CrashedRun, in_trial: bool, now: UnixMillis) -> bool {
         if self.runs.iter().any(|known| known.is_same(run)) {
             return false;
         }
-        if self.runs.len() == RUNS_KEPT {
+        if self.runs.len() == MAX_RUNS {
             self.runs.remove(0);
         }
         self.runs.push(run.clone());
@@ -126,21 +125,21 @@
         true
     }
 
-    /// When it changes by itself.
-    pub(super) fn due(&self) -> UnixMillis {
-        let life = if self.crashes.is_quarantined() { QUARANTINE_LIFE } else { SUSPECT_LIFE };
-        UnixMillis(self.updated_at.0.saturating_add(life.as_millis() as u64))
+    /// When the record expires or is released from quarantine.
+    pub(super) fn due_at(&self) -> UnixMillis {
+        let ttl = if self.crashes.is_quarantined() { QUARANTINE_DURATION } else { SUSPECT_TTL };
+        UnixMillis(self.updated_at.0.saturating_add(ttl.as_millis() as u64))
     }
 
-    /// Lets one trial more run, after the time in quarantine.
+    /// Releases the request from quarantine for one more trial.
     pub(super) fn release(&mut self, now: UnixMillis) {
-        self.crashes.in_trials = TRIALS_TO_QUARANTINE - 1;
+        self.crashes.in_trials = QUARANTINE_TRIAL_CRASHES - 1;
         self.updated_at = now;
     }
 
-    /// The order in which records give way when there are too many: suspects first, those with the
-    /// fewest ends of them, the oldest of these.
-    pub(super) fn worth(&self) -> (bool, u32, UnixMillis) {
+    /// Eviction order when the table is full: suspects before quarantined requests, then fewest
+    /// crashes, then oldest.
+    pub(super) fn eviction_rank(&self) -> (bool, u32, UnixMillis) {
         (self.crashes.is_quarantined(), self.crashes.total, self.updated_at)
     }
 }
--- a/crates/core/src/quarantine/suspect_table.rs
+++ b/crates/core/src/quarantine/suspect_table.rs
@@ -1,8 +1,8 @@
-//! The requests under which endpoints have ended, as the control VMs agree on them.
+//! The replicated table of suspects.
 //!
-//! The table is a part of the replicated state: it outlives the leader, lost disks and the loss of all
-//! VMs at once. Every change has a number; daemons are told what has changed after the number that
-//! they know.
+//! The table is part of the replicated state and survives leader changes, lost disks and the loss
+//! of all VMs at once. Each change increments its revision; daemons receive the changes after the
+//! revision that they know.
 
 use std::collections::BTreeMap;
 
@@ -17,29 +17,29 @@
     wire::{SuspectChange, SuspectNews},
 };
 
-/// Requests that are kept: 4,096 of at most 0.5 kB. All that ran in a data hall of the two-year size, which
-/// is lost at once, is 3,300.
+/// Maximum records, of at most 0.5 kB each: more than the requests that a whole data hall runs at
+/// once.
 const MAX_RECORDS: usize = 4_096;
-/// Requests of which it is kept that they are no suspects any more.
-const MAX_GONE: usize = MAX_RECORDS;
-/// Changes that one message tells: 6 kB.
-const TOLD_AT_ONCE: usize = 256;
+/// Maximum removed requests that are remembered to announce their removal.
+const MAX_REMOVED: usize = MAX_RECORDS;
+/// Maximum changes per message, which makes 6 kB.
+const CHANGES_PER_MESSAGE: usize = 256;
 
-/// An endpoint has ended, and these requests ran there.
+/// An endpoint crashed while this request was running on it.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct CrashReport {
-    /// The endpoint's run.
+    /// The run that crashed.
     #[prost(message, required, tag = "1")]
     pub run: CrashedRun,
     /// Digest of the request.
     #[prost(bytes = "bytes", tag = "2")]
     pub request: Bytes,
-    /// Whether it ran as a trial.
+    /// Whether the request ran as a trial.
     #[prost(bool, tag = "3")]
     pub in_trial: bool,
 }
 
-/// A request is no suspect any more: it has brought its whole answer, or an operator says so.
+/// Removes a suspect, after it was answered completely or on an operator's command.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ClearRequest {
     /// Digest of the request.
@@ -47,51 +47,51 @@
     pub request: Bytes,
 }
 
-/// A request under which endpoints have ended, for operators.
+/// A suspect, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Suspect {
-    /// The request.
+    /// Digest of the request.
     pub request: RequestDigest,
-    /// How it stands.
+    /// Crashes that interrupted the request.
     pub crashes: CrashCounts,
-    /// The last endpoints that ended under it, the newest last.
+    /// The most recently crashed runs, newest last.
     pub runs: Vec<CrashedRun>,
-    /// When the last of them ended.
+    /// Time of the last crash or release.
     pub updated_at: UnixMillis,
 }
 
-/// How much of the records a daemon has.
+/// State of a daemon's [`SuspectCache`](super::SuspectCache).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SuspectCacheState {
-    /// Number of the last change that it knows.
+    /// Table revision up to which the cache is complete.
     pub(crate) revision: u64,
-    /// Whether it began without any and has not been told all yet.
+    /// Whether the cache started empty and is still receiving the table.
     pub(crate) initializing: bool,
 }
 
-/// What a command has changed.
+/// Effect of a command on the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectUpdate {
-    /// Number of the last change so far.
+    /// Revision of the table after the command.
     pub revision: u64,
-    /// The request that it is about, as it stands now, if it has changed.
+    /// The affected request after the command, if it changed.
     pub changed: Option<Suspect>,
 }
 
-/// The requests under which endpoints have ended.
+/// Suspects and their crashes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SuspectTable {
     by_request: BTreeMap<RequestDigest, SuspectRecord>,
-    /// The last change of each request that is kept, and of those lately gone.
+    /// The latest change of each suspect and of recently removed requests, by revision.
     changes: BTreeMap<u64, RequestDigest>,
-    /// The requests that are lately gone, and the numbers of these changes.
-    gone: BTreeMap<RequestDigest, u64>,
+    /// Recently removed requests and the revisions of their removal.
+    removed: BTreeMap<RequestDigest, u64>,
     revision: u64,
-    /// What was gone by this number is forgotten.
-    forgotten: u64,
+    /// Removals up to this revision are no longer remembered.
+    forgotten_revision: u64,
 }
 
-/// One record in a snapshot.
+/// A record in a snapshot.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct EncodedSuspect {
     #[prost(bytes = "bytes", tag = "1")]
@@ -108,7 +108,7 @@
     revision: u64,
 }
 
-/// [`SuspectTable`] in a snapshot. What is gone is not kept: daemons that know older changes are told all.
+/// The table in a snapshot. Removals are not included: caches with an older revision are reset.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub(crate) struct EncodedSuspectTable {
     #[prost(uint64, tag = "1")]
@@ -118,59 +118,59 @@
 }
 
 impl SuspectTable {
-    /// How a request stands.
+    /// Crash counts of a request.
     pub fn crash_counts(&self, request: &RequestDigest) -> CrashCounts {
         self.by_request.get(request).map_or(CrashCounts::default(), |record| record.crashes)
     }
 
-    /// All of them, those that are kept from endpoints first.
+    /// All suspects, quarantined ones first.
     pub fn all(&self) -> Vec<Suspect> {
         let mut all: Vec<Suspect> = self.by_request.iter().map(suspect).collect();
         all.sort_by_key(|suspect| (!suspect.crashes.is_quarantined(), suspect.request));
         all
     }
 
-    /// Counts an end under a request.
-    pub(crate) fn record_crash(&mut self, ended: &CrashReport, now: UnixMillis) -> SuspectUpdate {
-        let Some(request) = RequestDigest::from_slice(&ended.request) else {
+    /// Records a crash that interrupted a request.
+    pub(crate) fn record_crash(&mut self, report: &CrashReport, now: UnixMillis) -> SuspectUpdate {
+        let Some(request) = RequestDigest::from_slice(&report.request) else {
             return self.unchanged();
         };
         let record = self.by_request.entry(request).or_insert_with(SuspectRecord::new);
-        if !record.end(&ended.run, ended.in_trial, now) {
+        if !record.add_crash(&report.run, report.in_trial, now) {
             return self.unchanged();
         }
-        self.changed(request);
-        self.make_room(request);
-        self.now_stands(request)
+        self.mark_changed(request);
+        self.evict(request);
+        self.updated(request)
     }
 
-    /// Forgets a request.
+    /// Removes a suspect.
     pub(crate) fn clear(&mut self, clear: &ClearRequest) -> SuspectUpdate {
         let request = RequestDigest::from_slice(&clear.request);
         match request.filter(|request| self.by_request.contains_key(request)) {
             Some(request) => {
                 self.remove(request);
-                self.now_stands(request)
+                self.updated(request)
             }
             None => self.unchanged(),
         }
     }
 
-    /// When [`SuspectTable::age`] next changes anything.
+    /// When [`SuspectTable::expire`] next has an effect.
     pub(crate) fn next_expiry(&self) -> Option<UnixMillis> {
-        self.by_request.values().map(SuspectRecord::due).min()
+        self.by_request.values().map(SuspectRecord::due_at).min()
     }
 
-    /// Forgets suspects that have been at no end for long, and lets those that were kept from
-    /// endpoints have one trial more.
+    /// Removes suspects without recent crashes, and releases requests from quarantine for one more
+    /// trial.
     pub(crate) fn expire(&mut self, now: UnixMillis) -> SuspectUpdate {
         let due: Vec<RequestDigest> =
-            self.by_request.iter().filter(|(_, r)| r.due() <= now).map(|(d, _)| *d).collect();
+            self.by_request.iter().filter(|(_, r)| r.due_at() <= now).map(|(d, _)| *d).collect();
         for request in due {
             match self.by_request.get_mut(&request) {
                 Some(record) if record.crashes.is_quarantined() => {
                     record.release(now);
-                    self.changed(request);
+                    self.mark_changed(request);
                 }
                 _ => self.remove(request),
             }
@@ -178,22 +178,25 @@
         self.unchanged()
     }
 
-    /// What a daemon lacks that knows the changes up to this number.
+    /// The changes that a cache in this state lacks, at most [`CHANGES_PER_MESSAGE`].
     pub(crate) fn changes_since(&self, copy: SuspectCacheState) -> SuspectNews {
-        let SuspectCacheState { revision: known, initializing: filling } = copy;
-        let lacks_what_is_gone = known < self.forgotten && !filling;
-        let reset = lacks_what_is_gone || self.revision < known;
+        let SuspectCacheState { revision: known, initializing } = copy;
+        let lacks_removals = known < self.forgotten_revision && !initializing;
+        let reset = lacks_removals || self.revision < known;
         let known = if reset { 0 } else { known };
-        let mut left = self.changes.range(known + 1..);
-        let told: Vec<(u64, RequestDigest)> =
-            left.by_ref().take(TOLD_AT_ONCE).map(|(number, request)| (*number, *request)).collect();
-        let more = left.next().is_some();
-        let up_to = told.last().filter(|_| more).map_or(self.revision, |(number, _)| *number);
+        let mut remaining = self.changes.range(known + 1..);
+        let sent: Vec<(u64, RequestDigest)> = remaining
+            .by_ref()
+            .take(CHANGES_PER_MESSAGE)
+            .map(|(number, request)| (*number, *request))
+            .collect();
+        let more = remaining.next().is_some();
+        let up_to = sent.last().filter(|_| more).map_or(self.revision, |(number, _)| *number);
         let change = |(_, request): (u64, RequestDigest)| {
             let CrashCounts { total: ended, in_trials } = self.crash_counts(&request);
             SuspectChange { request: Bytes::copy_from_slice(request.as_bytes()), ended, in_trials }
         };
-        let changes = told.into_iter().map(change).collect();
+        let changes = sent.into_iter().map(change).collect();
         SuspectNews { after: known, up_to, reset, more, changes }
     }
 
@@ -213,28 +216,23 @@
     pub(crate) fn decode(encoded: EncodedSuspectTable) -> SuspectTable {
         let record = |record: EncodedSuspect| -> Option<Entry> {
             let request = RequestDigest::from_slice(&record.request)?;
-            let EncodedSuspect { ended, in_trials, runs, last_ms, revision: number, .. } = record;
-            let standing = CrashCounts { total: ended, in_trials };
+            let EncodedSuspect { ended, in_trials, runs, last_ms, revision, .. } = record;
+            let crashes = CrashCounts { total: ended, in_trials };
             Some((
                 request,
-                SuspectRecord {
-                    crashes: standing,
-                    runs,
-                    updated_at: UnixMillis(last_ms),
-                    revision: number,
-                },
+                SuspectRecord { crashes, runs, updated_at: UnixMillis(last_ms), revision },
             ))
         };
         let by_request: BTreeMap<RequestDigest, SuspectRecord> =
             encoded.records.into_iter().filter_map(record).collect();
         let changes = by_request.iter().map(|(request, r)| (r.revision, *request)).collect();
-        let number = encoded.revision;
+        let revision = encoded.revision;
         SuspectTable {
             by_request,
             changes,
-            gone: BTreeMap::new(),
-            revision: number,
-            forgotten: number,
+            removed: BTreeMap::new(),
+            revision,
+            forgotten_revision: revision,
         }
     }
 
@@ -242,59 +240,60 @@
         SuspectUpdate { revision: self.revision, changed: None }
     }
 
-    fn now_stands(&self, request: RequestDigest) -> SuspectUpdate {
-        let gone = || SuspectRecord { revision: self.revision, ..SuspectRecord::new() };
-        let record = self.by_request.get(&request).cloned().unwrap_or_else(gone);
+    fn updated(&self, request: RequestDigest) -> SuspectUpdate {
+        let removed = || SuspectRecord { revision: self.revision, ..SuspectRecord::new() };
+        let record = self.by_request.get(&request).cloned().unwrap_or_else(removed);
         SuspectUpdate { revision: self.revision, changed: Some(suspect((&request, &record))) }
     }
 
-    /// Numbers a change of a request that is kept.
-    fn changed(&mut self, request: RequestDigest) {
+    /// Assigns the next revision to a change of `request`.
+    fn mark_changed(&mut self, request: RequestDigest) {
         self.revision += 1;
         let Some(record) = self.by_request.get_mut(&request) else { return };
-        let before = std::mem::replace(&mut record.revision, self.revision);
-        self.changes.remove(&before);
-        if let Some(gone) = self.gone.remove(&request) {
-            self.changes.remove(&gone);
+        let previous = std::mem::replace(&mut record.revision, self.revision);
+        self.changes.remove(&previous);
+        if let Some(removed) = self.removed.remove(&request) {
+            self.changes.remove(&removed);
         }
         self.changes.insert(self.revision, request);
     }
 
     fn remove(&mut self, request: RequestDigest) {
-        self.changed(request);
+        self.mark_changed(request);
         self.by_request.remove(&request);
-        self.gone.insert(request, self.revision);
-        self.forget_gone();
+        self.removed.insert(request, self.revision);
+        self.trim_removed();
     }
 
-    /// Lets the least of the others give way if there are too many.
-    fn make_room(&mut self, kept: RequestDigest) {
+    /// Evicts one record other than `kept` if the table is full.
+    fn evict(&mut self, kept: RequestDigest) {
         if self.by_request.len() <= MAX_RECORDS {
             return;
         }
         let others = self.by_request.iter().filter(|(request, _)| **request != kept);
-        let least = others.min_by_key(|(_, record)| record.worth()).map(|(request, _)| *request);
-        if let Some(least) = least {
-            self.remove(least);
+        let victim =
+            others.min_by_key(|(_, record)| record.eviction_rank()).map(|(request, _)| *request);
+        if let Some(victim) = victim {
+            self.remove(victim);
         }
     }
 
-    /// Bounds what is kept of requests that are gone.
-    fn forget_gone(&mut self) {
-        while MAX_GONE < self.gone.len() {
-            let oldest = self.gone.iter().min_by_key(|(_, number)| **number);
+    /// Bounds the number of remembered removals.
+    fn trim_removed(&mut self) {
+        while MAX_REMOVED < self.removed.len() {
+            let oldest = self.removed.iter().min_by_key(|(_, number)| **number);
             let Some((request, number)) = oldest.map(|(request, number)| (*request, *number))
             else {
                 return;
             };
-            self.gone.remove(&request);
+            self.removed.remove(&request);
             self.changes.remove(&number);
-            self.forgotten = number;
+            self.forgotten_revision = number;
         }
     }
 }
 
 fn suspect((request, record): (&RequestDigest, &SuspectRecord)) -> Suspect {
-    let SuspectRecord { crashes: standing, runs, updated_at: last, .. } = record.clone();
-    Suspect { request: *request, crashes: standing, runs, updated_at: last }
+    let SuspectRecord { crashes, runs, updated_at: last, .. } = record.clone();
+    Suspect { request: *request, crashes, runs, updated_at: last }
 }
--- a/crates/core/src/quarantine/suspect_table_tests.rs
+++ b/crates/core/src/quarantine/suspect_table_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is on record about requests under which endpoints have ended.
+//! The suspect table and its copies on daemons.
 
 use bytes::Bytes;
 use googletest::prelude::*;
@@ -19,16 +19,16 @@
     Bytes::copy_from_slice(request(number).as_bytes())
 }
 
-fn ended(number: u8, endpoint: u64, in_trial: bool) -> CrashReport {
+fn crash(number: u8, endpoint: u64, in_trial: bool) -> CrashReport {
     let run = CrashedRun { endpoint: format!("e{endpoint}"), started_at: 0, detected_ms: 0 };
     CrashReport { run, request: bytes(number), in_trial }
 }
 
-/// Records after so many ends under request 1, the last of them in trials.
+/// A table with this many crashes of request 1, the last of them in trials.
 fn after(ends: u64, in_trials: u64, at: u64) -> SuspectTable {
     let mut records = SuspectTable::default();
     for endpoint in 0..ends {
-        records.record_crash(&ended(1, endpoint, ends - in_trials <= endpoint), UnixMillis(at));
+        records.record_crash(&crash(1, endpoint, ends - in_trials <= endpoint), UnixMillis(at));
     }
     records
 }
@@ -38,43 +38,43 @@
 }
 
 #[gtest]
-fn a_request_is_sent_to_none_after_three_ends_of_which_two_were_in_trials() {
+fn quarantine_needs_three_crashes_two_of_them_in_trials() {
     expect_that!(is_quarantined(&after(3, 2, 0)), eq(true));
     expect_that!(is_quarantined(&after(2, 2, 0)), eq(false));
     expect_that!(is_quarantined(&after(3, 1, 0)), eq(false));
 }
 
 #[gtest]
-fn a_rack_that_ends_proves_nothing_against_a_popular_request() {
+fn crashes_outside_trials_do_not_quarantine() {
     expect_that!(is_quarantined(&after(30, 0, 0)), eq(false));
 }
 
 #[gtest]
-fn one_end_counts_once_however_many_daemons_tell_of_it() {
+fn duplicate_crash_reports_count_once() {
     let mut records = after(1, 0, 0);
 
-    let again = records.record_crash(&ended(1, 0, true), UnixMillis(5));
+    let again = records.record_crash(&crash(1, 0, true), UnixMillis(5));
 
     expect_that!(again.changed, none());
     expect_that!(records.crash_counts(&request(1)), eq(CrashCounts { total: 1, in_trials: 0 }));
 }
 
 #[gtest]
-fn another_run_of_the_same_endpoint_is_another_end() {
+fn crashes_of_different_runs_count_separately() {
     let mut records = after(1, 0, 0);
     let run = CrashedRun { endpoint: "e0".into(), started_at: 7, detected_ms: 0 };
 
-    records.record_crash(&CrashReport { run, ..ended(1, 0, false) }, UnixMillis(0));
+    records.record_crash(&CrashReport { run, ..crash(1, 0, false) }, UnixMillis(0));
 
     expect_that!(records.crash_counts(&request(1)).total, eq(2));
 }
 
 #[gtest]
-fn an_endpoint_whose_runs_cannot_be_told_apart_ends_again_when_that_is_seen_later() {
+fn crashes_without_start_time_are_distinguished_by_detection_time() {
     let mut records = SuspectTable::default();
     let seen = |seen_ms| CrashReport {
         run: CrashedRun { endpoint: "e0".into(), started_at: 0, detected_ms: seen_ms },
-        ..ended(1, 0, false)
+        ..crash(1, 0, false)
     };
 
     for seen_ms in [10_000, 10_400, 10_000, 14_000] {
@@ -85,7 +85,7 @@
 }
 
 #[gtest]
-fn a_whole_answer_clears_a_request() {
+fn clearing_removes_a_suspect() {
     let mut records = after(3, 2, 0);
 
     let cleared = records.clear(&ClearRequest { request: bytes(1) });
@@ -97,7 +97,7 @@
 }
 
 #[gtest]
-fn a_suspect_is_forgotten_after_ten_minutes_and_one_in_quarantine_gets_one_trial_after_an_hour() {
+fn suspects_expire_and_quarantined_requests_get_one_more_trial() {
     let mut suspect = after(2, 1, 0);
     let mut quarantined = after(3, 2, 0);
 
@@ -106,7 +106,7 @@
     let before = is_quarantined(&quarantined);
     quarantined.expire(UnixMillis(HOUR));
     let after_it = is_quarantined(&quarantined);
-    quarantined.record_crash(&ended(1, 9, true), UnixMillis(HOUR + 1));
+    quarantined.record_crash(&crash(1, 9, true), UnixMillis(HOUR + 1));
 
     expect_that!(suspect.crash_counts(&request(1)).is_suspect(), eq(false));
     expect_that!(before, eq(true));
@@ -115,12 +115,12 @@
 }
 
 #[gtest]
-fn of_too_many_the_least_suspect_gives_way() {
+fn full_table_evicts_the_least_suspect() {
     let mut records = after(3, 2, 0);
     let other = |number: u32| {
         let mut digest = [0; 16];
         digest[..4].copy_from_slice(&number.to_be_bytes());
-        CrashReport { request: Bytes::copy_from_slice(&digest), ..ended(0, 100, false) }
+        CrashReport { request: Bytes::copy_from_slice(&digest), ..crash(0, 100, false) }
     };
 
     for number in 0..5_000 {
@@ -131,8 +131,8 @@
     expect_that!(is_quarantined(&records), eq(true));
 }
 
-/// Tells a daemon what it lacks until it lacks nothing.
-fn tell(records: &SuspectTable, known: &mut SuspectCache) {
+/// Sends changes to a cache until it is complete.
+fn update(records: &SuspectTable, known: &mut SuspectCache) {
     loop {
         let news = records.changes_since(known.state());
         known.apply(&news);
@@ -147,8 +147,9 @@
     Ended(u8, u64, bool),
     Clear(u8),
     Age(u64),
-    /// The daemon is told, perhaps after a restart of its own or of the leader from a snapshot.
-    Tell {
+    /// The cache is updated, perhaps after a restart of its daemon or of the leader from a
+    /// snapshot.
+    Update {
         restarted: bool,
         snapshot: bool,
     },
@@ -160,7 +161,7 @@
         1 => (0u8..6).prop_map(Step::Clear),
         1 => (0u64..2 * HOUR).prop_map(Step::Age),
         2 => (any::<bool>(), any::<bool>())
-            .prop_map(|(restarted, snapshot)| Step::Tell { restarted, snapshot }),
+            .prop_map(|(restarted, snapshot)| Step::Update { restarted, snapshot }),
     ];
     proptest::collection::vec(step, 1..60)
 }
@@ -168,14 +169,14 @@
 proptest! {
     #![proptest_config(fixed_seed(200))]
 
-    /// Whatever happens in whatever order, a daemon that was told last knows how each request stands.
+    /// An updated cache equals the table after any sequence of steps.
     #[test]
-    fn a_daemon_knows_what_is_on_record(steps in steps()) {
+    fn updated_cache_equals_the_table(steps in steps()) {
         let (mut records, mut known, mut now) = (SuspectTable::default(), SuspectCache::default(), 0);
         for step in steps {
             match step {
                 Step::Ended(number, endpoint, in_trial) => {
-                    records.record_crash(&ended(number, endpoint, in_trial), UnixMillis(now));
+                    records.record_crash(&crash(number, endpoint, in_trial), UnixMillis(now));
                 }
                 Step::Clear(number) => {
                     records.clear(&ClearRequest { request: bytes(number) });
@@ -184,14 +185,14 @@
                     now += by;
                     records.expire(UnixMillis(now));
                 }
-                Step::Tell { restarted, snapshot } => {
+                Step::Update { restarted, snapshot } => {
                     if restarted {
                         known = SuspectCache::default();
                     }
                     if snapshot {
                         records = SuspectTable::decode(records.encode());
                     }
-                    tell(&records, &mut known);
+                    update(&records, &mut known);
                     for number in 0..6 {
                         let request = request(number);
                         prop_assert_eq!(known.crash_counts(&request), records.crash_counts(&request));
@@ -203,18 +204,18 @@
 }
 
 #[gtest]
-fn many_changes_are_told_in_several_messages() {
+fn changes_are_split_into_messages() {
     let mut records = SuspectTable::default();
     for number in 0..1_000u32 {
         let mut digest = [0; 16];
         digest[..4].copy_from_slice(&number.to_be_bytes());
-        let ended = CrashReport { request: Bytes::copy_from_slice(&digest), ..ended(0, 0, false) };
+        let ended = CrashReport { request: Bytes::copy_from_slice(&digest), ..crash(0, 0, false) };
         records.record_crash(&ended, UnixMillis(0));
     }
     let mut known = SuspectCache::default();
 
     let first = records.changes_since(known.state());
-    tell(&records, &mut known);
+    update(&records, &mut known);
 
     expect_that!(first.changes.len(), eq(256));
     expect_that!(first.more, eq(true));
--- a/crates/core/src/quarantine/trial_queue.rs
+++ b/crates/core/src/quarantine/trial_queue.rs
@@ -1,7 +1,7 @@
-//! Lets one try of a suspect run at a time, among all daemons.
+//! Serializes the attempts of each suspect across all daemons.
 //!
-//! Runs on the leader, as soft state: a new leader waits a moment for the daemons to tell which tries run
-//! and which wait.
+//! Runs on the leader as soft state: a new leader first waits for the daemons to report running and
+//! waiting attempts.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -12,151 +12,157 @@
 use super::{CrashCounts, RequestDigest, SuspectTable};
 use crate::units::Instant;
 
-/// Time in which a new leader only listens.
-const LISTEN: Duration = Duration::from_millis(300);
-/// Tries of one request that may wait for the one that runs; more are refused at once.
+/// Time for which a new leader collects reports before it grants trials.
+const STARTUP_DELAY: Duration = Duration::from_millis(300);
+/// Maximum waiting attempts per request; more are rejected.
 const MAX_WAITING: usize = 64;
 
-/// Who asks for a trial.
+/// Identifies an attempt that requests a trial.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct AttemptId {
-    /// The daemon.
+    /// The daemon that runs the attempt.
     pub(crate) vm: Arc<str>,
-    /// Its number for the try.
+    /// Number of the attempt on that daemon.
     pub(crate) number: u64,
 }
 
-/// What an asker is told.
+/// Answer to a requested trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TrialDecision {
-    /// Its try may run, as the only one, and apart from other requests if so.
+    /// The attempt may run, as the only one of its request and isolated from other requests if so.
     Granted { isolated: bool },
-    /// The request is sent to no endpoint.
+    /// The request is quarantined.
     Quarantined,
-    /// It is no suspect any more.
+    /// The request is no longer a suspect.
     Cleared,
-    /// Too many wait.
+    /// Too many attempts of the request are waiting.
     Busy,
 }
 
-/// A try that waits.
+/// An attempt that waits for its trial.
 #[derive(Debug)]
 struct Waiting {
-    asker: AttemptId,
-    /// How the request stands as its daemon knows: an end that it has told may not be on record yet.
-    standing: CrashCounts,
+    attempt: AttemptId,
+    /// Crash counts known to the attempt's daemon, which may include a crash that is not yet in the
+    /// table.
+    crashes: CrashCounts,
 }
 
-/// The tries of one request.
+/// Attempts of one request.
 #[derive(Debug, Default)]
-struct Line {
+struct AttemptQueue {
     running: Option<AttemptId>,
     waiting: VecDeque<Waiting>,
-    /// Whether it has been on record since the first asked.
-    recorded: bool,
+    /// Whether the request has been in the table since its first attempt.
+    was_in_table: bool,
 }
 
-/// The tries of all suspects.
+/// Attempts of all suspects.
 #[derive(Debug)]
 pub(crate) struct TrialQueue {
-    open_at: Instant,
-    lines: BTreeMap<RequestDigest, Line>,
+    decides_from: Instant,
+    queues: BTreeMap<RequestDigest, AttemptQueue>,
 }
 
 impl TrialQueue {
-    /// Without any, on a leader that leads since now.
+    /// Creates an empty queue on a leader elected at `now`.
     pub(crate) fn new(now: Instant) -> TrialQueue {
-        TrialQueue { open_at: now.after(LISTEN), lines: BTreeMap::new() }
+        TrialQueue { decides_from: now.after(STARTUP_DELAY), queues: BTreeMap::new() }
     }
 
-    /// When [`TrialQueue::decide`] must be called even without other input.
+    /// When [`TrialQueue::decide`] must next be called.
     pub(crate) fn next_decision(&self, now: Instant) -> Option<Instant> {
-        let waits = self.lines.values().any(|line| !line.waiting.is_empty());
-        (waits && now < self.open_at).then_some(self.open_at)
+        let has_waiting = self.queues.values().any(|queue| !queue.waiting.is_empty());
+        (has_waiting && now < self.decides_from).then_some(self.decides_from)
     }
 
-    /// Takes a try that waits. One that is known is not taken again.
+    /// Queues an attempt, unless it is already queued or running. Returns a decision if it is
+    /// rejected.
     pub(crate) fn request(
         &mut self,
         request: RequestDigest,
-        asker: AttemptId,
-        standing: CrashCounts,
+        attempt: AttemptId,
+        crashes: CrashCounts,
     ) -> Option<TrialDecision> {
-        let line = self.lines.entry(request).or_default();
-        let runs = line.running.as_ref() == Some(&asker);
-        if runs || line.waiting.iter().any(|waiting| waiting.asker == asker) {
+        let queue = self.queues.entry(request).or_default();
+        let runs = queue.running.as_ref() == Some(&attempt);
+        if runs || queue.waiting.iter().any(|waiting| waiting.attempt == attempt) {
             return None;
         }
-        if MAX_WAITING <= line.waiting.len() {
+        if MAX_WAITING <= queue.waiting.len() {
             return Some(TrialDecision::Busy);
         }
-        line.waiting.push_back(Waiting { asker, standing });
+        queue.waiting.push_back(Waiting { attempt, crashes });
         None
     }
 
-    /// Takes a try that a former leader has let run.
-    pub(crate) fn adopt(&mut self, request: RequestDigest, asker: AttemptId) {
-        let line = self.lines.entry(request).or_default();
-        line.waiting.retain(|waiting| waiting.asker != asker);
-        line.running.get_or_insert(asker);
+    /// Adopts an attempt that runs with the permission of a former leader.
+    pub(crate) fn adopt(&mut self, request: RequestDigest, attempt: AttemptId) {
+        let queue = self.queues.entry(request).or_default();
+        queue.waiting.retain(|waiting| waiting.attempt != attempt);
+        queue.running.get_or_insert(attempt);
     }
 
-    /// A try has ended, or is no longer wanted.
-    pub(crate) fn finish(&mut self, asker: &AttemptId) {
-        self.retain(|other| other != asker);
+    /// Removes an attempt that ended or was abandoned.
+    pub(crate) fn finish(&mut self, attempt: &AttemptId) {
+        self.retain(|other| other != attempt);
     }
 
-    /// Forgets all tries of a daemon that is gone.
+    /// Removes all attempts of a daemon that is gone.
     pub(crate) fn remove_daemon(&mut self, vm: &str) {
-        self.retain(|asker| *asker.vm != *vm);
+        self.retain(|attempt| *attempt.vm != *vm);
     }
 
-    /// Tells the askers what can be told now.
+    /// Returns the decisions for attempts that can be decided now.
     pub(crate) fn decide(
         &mut self,
         records: &SuspectTable,
         now: Instant,
     ) -> Vec<(AttemptId, TrialDecision)> {
-        if now < self.open_at {
+        if now < self.decides_from {
             return Vec::new();
         }
-        let mut told = Vec::new();
-        for (request, line) in &mut self.lines {
-            line.decide(records.crash_counts(request), &mut told);
+        let mut decisions = Vec::new();
+        for (request, queue) in &mut self.queues {
+            queue.decide(records.crash_counts(request), &mut decisions);
         }
-        self.lines.retain(|_, line| !line.is_empty());
-        told
+        self.queues.retain(|_, queue| !queue.is_empty());
+        decisions
     }
 
     fn retain(&mut self, keep: impl Fn(&AttemptId) -> bool) {
-        for line in self.lines.values_mut() {
-            line.running.take_if(|asker| !keep(asker));
-            line.waiting.retain(|waiting| keep(&waiting.asker));
+        for queue in self.queues.values_mut() {
+            queue.running.take_if(|attempt| !keep(attempt));
+            queue.waiting.retain(|waiting| keep(&waiting.attempt));
         }
     }
 }
 
-impl Line {
+impl AttemptQueue {
     fn is_empty(&self) -> bool {
         self.running.is_none() && self.waiting.is_empty()
     }
 
-    fn decide(&mut self, recorded: CrashCounts, told: &mut Vec<(AttemptId, TrialDecision)>) {
-        self.recorded |= recorded.is_suspect();
+    fn decide(&mut self, recorded: CrashCounts, decisions: &mut Vec<(AttemptId, TrialDecision)>) {
+        self.was_in_table |= recorded.is_suspect();
         if recorded.is_quarantined() {
-            self.tell_all(TrialDecision::Quarantined, told);
-        } else if self.recorded && !recorded.is_suspect() {
-            self.tell_all(TrialDecision::Cleared, told);
+            self.decide_waiting(TrialDecision::Quarantined, decisions);
+        } else if self.was_in_table && !recorded.is_suspect() {
+            self.decide_waiting(TrialDecision::Cleared, decisions);
         } else if self.running.is_none()
-            && let Some(Waiting { asker, standing }) = self.waiting.pop_front()
+            && let Some(Waiting { attempt, crashes }) = self.waiting.pop_front()
         {
-            let isolated = recorded.max(standing).needs_isolation();
-            told.push((asker.clone(), TrialDecision::Granted { isolated }));
-            self.running = Some(asker);
+            let isolated = recorded.max(crashes).needs_isolation();
+            decisions.push((attempt.clone(), TrialDecision::Granted { isolated }));
+            self.running = Some(attempt);
         }
     }
 
-    fn tell_all(&mut self, permission: TrialDecision, told: &mut Vec<(AttemptId, TrialDecision)>) {
-        told.extend(self.waiting.drain(..).map(|waiting| (waiting.asker, permission)));
+    fn decide_waiting(
+        &mut self,
+        permission: TrialDecision,
+        decisions: &mut Vec<(AttemptId, TrialDecision)>,
+    ) {
+        decisions.extend(self.waiting.drain(..).map(|waiting| (waiting.attempt, permission)));
     }
 }
--- a/crates/core/src/quarantine/trial_queue_tests.rs
+++ b/crates/core/src/quarantine/trial_queue_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of one try at a time.
+//! Serialized trials of suspects.
 
 use bytes::Bytes;
 use googletest::prelude::*;
@@ -9,7 +9,7 @@
 };
 use crate::units::{Instant, UnixMillis};
 
-/// After the time in which a new leader listens.
+/// After the startup delay of a new leader.
 const LATER: Instant = Instant(1_000_000);
 const SUSPECT: CrashCounts = CrashCounts { total: 1, in_trials: 0 };
 
@@ -17,11 +17,11 @@
     RequestDigest::from_slice(&[1; 16]).unwrap()
 }
 
-fn asker(vm: &str, number: u64) -> AttemptId {
+fn attempt(vm: &str, number: u64) -> AttemptId {
     AttemptId { vm: vm.into(), number }
 }
 
-fn ends(records: &mut SuspectTable, endpoint: u64, in_trial: bool) {
+fn crash(records: &mut SuspectTable, endpoint: u64, in_trial: bool) {
     let run = CrashedRun { endpoint: format!("e{endpoint}"), started_at: 0, detected_ms: 0 };
     let request = Bytes::copy_from_slice(request().as_bytes());
     records.record_crash(&CrashReport { run, request, in_trial }, UnixMillis(0));
@@ -31,11 +31,11 @@
     records.clear(&ClearRequest { request: Bytes::copy_from_slice(request().as_bytes()) });
 }
 
-/// Trials for which these tries have asked.
-fn asked(askers: &[AttemptId]) -> TrialQueue {
+/// A queue in which these attempts wait.
+fn queue_of(attempts: &[AttemptId]) -> TrialQueue {
     let mut trials = TrialQueue::new(Instant(0));
-    for asker in askers {
-        expect_that!(trials.request(request(), asker.clone(), SUSPECT), none());
+    for attempt in attempts {
+        expect_that!(trials.request(request(), attempt.clone(), SUSPECT), none());
     }
     trials
 }
@@ -43,9 +43,9 @@
 const GRANTED: TrialDecision = TrialDecision::Granted { isolated: false };
 
 #[gtest]
-fn one_try_runs_at_a_time_whichever_daemons_they_come_through() {
-    let (a, b) = (asker("a", 1), asker("b", 1));
-    let mut trials = asked(&[a.clone(), b.clone()]);
+fn one_attempt_runs_at_a_time_across_daemons() {
+    let (a, b) = (attempt("a", 1), attempt("b", 1));
+    let mut trials = queue_of(&[a.clone(), b.clone()]);
     let records = SuspectTable::default();
 
     let first = trials.decide(&records, LATER);
@@ -59,90 +59,93 @@
 }
 
 #[gtest]
-fn all_that_wait_are_told_when_the_request_is_sent_to_none_any_more() {
-    let (a, b) = (asker("a", 1), asker("b", 1));
-    let mut trials = asked(&[a.clone(), b.clone()]);
+fn quarantine_decides_all_waiting_attempts() {
+    let (a, b) = (attempt("a", 1), attempt("b", 1));
+    let mut trials = queue_of(&[a.clone(), b.clone()]);
     let mut records = SuspectTable::default();
     trials.decide(&records, LATER);
-    (0..3).for_each(|endpoint| ends(&mut records, endpoint, true));
+    (0..3).for_each(|endpoint| crash(&mut records, endpoint, true));
 
-    let told = trials.decide(&records, LATER);
+    let decisions = trials.decide(&records, LATER);
 
-    expect_that!(told, eq(&vec![(b, TrialDecision::Quarantined)]));
+    expect_that!(decisions, eq(&vec![(b, TrialDecision::Quarantined)]));
 }
 
 #[gtest]
-fn all_that_wait_are_told_when_it_is_no_suspect_any_more() {
-    let (a, b, c) = (asker("a", 1), asker("b", 1), asker("b", 2));
-    let mut trials = asked(&[a, b.clone(), c.clone()]);
+fn clearing_decides_all_waiting_attempts() {
+    let (a, b, c) = (attempt("a", 1), attempt("b", 1), attempt("b", 2));
+    let mut trials = queue_of(&[a, b.clone(), c.clone()]);
     let mut records = SuspectTable::default();
-    ends(&mut records, 1, false);
+    crash(&mut records, 1, false);
     trials.decide(&records, LATER);
     clear(&mut records);
 
-    let told = trials.decide(&records, LATER);
+    let decisions = trials.decide(&records, LATER);
 
-    expect_that!(told, eq(&vec![(b, TrialDecision::Cleared), (c, TrialDecision::Cleared)]));
+    expect_that!(decisions, eq(&vec![(b, TrialDecision::Cleared), (c, TrialDecision::Cleared)]));
 }
 
 #[gtest]
-fn a_try_whose_daemon_knows_of_an_end_that_is_not_on_record_yet_is_a_trial() {
+fn crashes_not_yet_in_the_table_count_for_isolation() {
     let mut trials = TrialQueue::new(Instant(0));
-    let standing = CrashCounts { total: 2, in_trials: 0 };
-    trials.request(request(), asker("a", 1), standing);
+    let crashes = CrashCounts { total: 2, in_trials: 0 };
+    trials.request(request(), attempt("a", 1), crashes);
 
-    let told = trials.decide(&SuspectTable::default(), LATER);
+    let decisions = trials.decide(&SuspectTable::default(), LATER);
 
-    expect_that!(told, eq(&vec![(asker("a", 1), TrialDecision::Granted { isolated: true })]));
+    expect_that!(
+        decisions,
+        eq(&vec![(attempt("a", 1), TrialDecision::Granted { isolated: true })])
+    );
 }
 
 #[gtest]
-fn a_new_leader_first_listens_to_what_runs() {
-    let mut trials = asked(&[asker("a", 1)]);
+fn new_leader_first_collects_running_attempts() {
+    let mut trials = queue_of(&[attempt("a", 1)]);
 
     let at_once = trials.decide(&SuspectTable::default(), Instant(1));
     let wakes = trials.next_decision(Instant(1));
-    trials.adopt(request(), asker("b", 7));
+    trials.adopt(request(), attempt("b", 7));
     let later = trials.decide(&SuspectTable::default(), LATER);
-    trials.finish(&asker("b", 7));
+    trials.finish(&attempt("b", 7));
     let then = trials.decide(&SuspectTable::default(), LATER);
 
     expect_that!(at_once, is_empty());
     expect_that!(wakes, some(le(LATER)));
     expect_that!(later, is_empty());
-    expect_that!(then, eq(&vec![(asker("a", 1), GRANTED)]));
+    expect_that!(then, eq(&vec![(attempt("a", 1), GRANTED)]));
 }
 
 #[gtest]
-fn the_tries_of_a_daemon_that_is_gone_hold_up_nobody() {
-    let mut trials = asked(&[asker("a", 1), asker("a", 2), asker("b", 1)]);
+fn attempts_of_a_removed_daemon_are_dropped() {
+    let mut trials = queue_of(&[attempt("a", 1), attempt("a", 2), attempt("b", 1)]);
     trials.decide(&SuspectTable::default(), LATER);
 
     trials.remove_daemon("a");
-    let told = trials.decide(&SuspectTable::default(), LATER);
+    let decisions = trials.decide(&SuspectTable::default(), LATER);
 
-    expect_that!(told, eq(&vec![(asker("b", 1), GRANTED)]));
+    expect_that!(decisions, eq(&vec![(attempt("b", 1), GRANTED)]));
 }
 
 #[gtest]
-fn a_daemon_that_asks_again_is_not_taken_for_two() {
-    let a = asker("a", 1);
-    let mut trials = asked(&[a.clone(), a.clone()]);
+fn repeated_requests_are_deduplicated() {
+    let a = attempt("a", 1);
+    let mut trials = queue_of(&[a.clone(), a.clone()]);
 
-    let told = trials.decide(&SuspectTable::default(), LATER);
+    let decisions = trials.decide(&SuspectTable::default(), LATER);
     trials.finish(&a);
     let then = trials.decide(&SuspectTable::default(), LATER);
 
-    expect_that!(told.len(), eq(1));
+    expect_that!(decisions.len(), eq(1));
     expect_that!(then, is_empty());
 }
 
 #[gtest]
-fn too_many_are_told_at_once_that_they_are() {
-    let askers: Vec<AttemptId> = (0..64).map(|number| asker("a", number)).collect();
-    let mut trials = asked(&askers);
+fn attempts_beyond_the_limit_are_rejected() {
+    let attempts: Vec<AttemptId> = (0..64).map(|number| attempt("a", number)).collect();
+    let mut trials = queue_of(&attempts);
 
-    let refused = trials.request(request(), asker("b", 1), SUSPECT);
+    let refused = trials.request(request(), attempt("b", 1), SUSPECT);
 
     expect_that!(refused, some(eq(TrialDecision::Busy)));
 }
