--- a/crates/core/src/registry/cold_tests.rs
+++ b/crates/core/src/registry/cold_tests.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are cold, by their own word or since their data hall is back.
+//! Cold starts that endpoints report or that follow a return to service.
 
 use googletest::prelude::*;
 
@@ -9,7 +9,7 @@
 use crate::{config::Config, units::Instant, wire::EndpointRecord};
 
 #[gtest]
-fn an_endpoint_is_cold_for_as_long_as_its_heartbeat_says() {
+fn endpoint_is_cold_as_long_as_reported() {
     let mut registry = Registry::new(HEARTBEAT);
     let cold = EndpointRecord { cold_ms: 900, ..record("a", 1, false) };
 
@@ -20,7 +20,7 @@
 }
 
 #[gtest]
-fn an_endpoint_that_becomes_cold_again_is_news_and_one_that_warms_up_is_not() {
+fn only_a_new_cold_start_is_forwarded() {
     let mut registry = Registry::new(HEARTBEAT);
     let with = |sequence, cold_ms| EndpointRecord { cold_ms, ..record("a", sequence, false) };
     registry.apply(with(1, 1_500), seconds(0));
@@ -37,7 +37,7 @@
 }
 
 #[gtest]
-fn the_endpoints_of_a_hall_that_is_back_are_taken_for_cold() {
+fn endpoints_of_a_restored_hall_are_cold() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(record("a", 1, false), seconds(0));
     let text = "[deployment]\nname = d\nversion = 1\n[tier t]\nrank = 1\n\
@@ -54,7 +54,7 @@
 }
 
 #[gtest]
-fn what_an_endpoint_says_in_an_answer_holds_for_the_run_that_says_it() {
+fn cold_start_applies_to_the_reporting_run_only() {
     let mut registry = Registry::new(HEARTBEAT);
     let run = EndpointRecord { born: 5, ..record("a", 1, false) };
     registry.apply(run, seconds(1));
--- a/crates/core/src/registry/digest.rs
+++ b/crates/core/src/registry/digest.rs
@@ -1,24 +1,23 @@
-//! A digest of the endpoints that a daemon knows, so that two daemons find out what they know
-//! differently without telling it.
+//! Digest of a registry, by which two daemons find differences without exchanging all records.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use crate::wire::EndpointRecord;
 
-/// Parts into which endpoints are divided: 3,000 of them make 47 a part, 6 kB on a link.
+/// Number of buckets: with 3,000 endpoints a bucket has 47 and takes 6 kB on a link.
 pub(crate) const BUCKETS: usize = 64;
 
-/// The part that an endpoint of this name is in.
+/// The bucket of an endpoint.
 pub(crate) fn bucket_of(id: &str) -> usize {
     (hash(&id) % BUCKETS as u64) as usize
 }
 
-/// One number for each part, the sum over its endpoints.
+/// One checksum per bucket: the sum of the hashes of its records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RegistryDigest(Vec<u64>);
 
 impl RegistryDigest {
-    /// The digest of these endpoints.
+    /// Computes the digest of these records.
     pub(crate) fn of<'a>(records: impl Iterator<Item = &'a EndpointRecord>) -> RegistryDigest {
         let mut sums = vec![0u64; BUCKETS];
         for record in records {
@@ -28,24 +27,25 @@
         RegistryDigest(sums)
     }
 
-    /// A digest as another daemon has told it; none if it has other parts.
+    /// Decodes another daemon's digest; `None` if the number of buckets differs.
     pub(crate) fn from_sums(sums: Vec<u64>) -> Option<RegistryDigest> {
         (sums.len() == BUCKETS).then_some(RegistryDigest(sums))
     }
 
-    /// One number for each part.
+    /// One checksum per bucket.
     pub(crate) fn sums(&self) -> &[u64] {
         &self.0
     }
 
-    /// The parts that differ.
+    /// The buckets that differ.
     pub(crate) fn differing_buckets(&self, other: &RegistryDigest) -> impl Iterator<Item = usize> {
         let pairs = self.0.iter().zip(&other.0).enumerate();
-        pairs.filter(|(_, (a, b))| a != b).map(|(part, _)| part)
+        pairs.filter(|(_, (a, b))| a != b).map(|(bucket, _)| bucket)
     }
 }
 
-/// What others must know of an endpoint; its heartbeats' numbers change all the time.
+/// Hashes the fields that other daemons must know. Heartbeat numbers change all the time and are
+/// excluded.
 fn hash_of(record: &EndpointRecord) -> u64 {
     let EndpointRecord { id, service, address, hall, slots, leaving, silent, born, .. } = record;
     hash(&(id, service, address, hall, slots, leaving, silent, born))
--- a/crates/core/src/registry/known.rs
+++ b/crates/core/src/registry/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints that a daemon knows, by name and by address.
+//! The known endpoints, indexed by name and address.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -9,75 +9,75 @@
 
 use crate::{units::Instant, wire::EndpointRecord};
 
-/// An endpoint that says it is cold for this much longer than was known is cold anew: between two
-/// heartbeats the time that is left differs by the delays of both.
-const COLD_ANEW: Duration = Duration::from_millis(200);
+/// An endpoint has started cold again if its reported cold time exceeds the known one by more than
+/// this. Smaller differences come from varying delays of heartbeats.
+const MIN_COLD_EXTENSION: Duration = Duration::from_millis(200);
 
-/// What is known of one endpoint.
+/// State of one endpoint.
 #[derive(Debug, Clone)]
-pub(super) struct Known {
+pub(super) struct EndpointState {
     pub(super) record: EndpointRecord,
     pub(super) address: SocketAddr,
-    /// When a heartbeat or news of it last came.
+    /// When a heartbeat or forwarded record of it was last heard.
     pub(super) heard: Instant,
-    /// It is known from before this daemon's start and was not heard since.
-    pub(super) recalled: bool,
-    /// When it began to leave, as known here.
+    /// Restored from disk and not heard since.
+    pub(super) restored: bool,
+    /// When it was first known to be leaving.
     pub(super) leaving_since: Option<Instant>,
-    /// When its heartbeats were found to have stopped.
+    /// When it was found to be silent.
     pub(super) silent_since: Option<Instant>,
-    /// Until when it is cold, as far as known.
+    /// End of its cold start, if known.
     pub(super) cold_until: Option<Instant>,
 }
 
-impl Known {
+impl EndpointState {
     pub(super) fn new(
         record: EndpointRecord,
         address: SocketAddr,
         heard: Instant,
         now: Instant,
-    ) -> Known {
+    ) -> EndpointState {
         let leaving_since = record.leaving.then_some(now);
         let silent_since = record.silent.then_some(now);
         let cold_until = cold_until(&record, heard);
-        let recalled = false;
-        Known { record, address, heard, recalled, leaving_since, silent_since, cold_until }
+        let restored = false;
+        EndpointState { record, address, heard, restored, leaving_since, silent_since, cold_until }
     }
 
-    /// Notes that it is cold until then at least; tells whether that is new.
-    pub(super) fn cool(&mut self, until: Instant) -> bool {
-        let is_new = self.cold_until.is_none_or(|known| known.after(COLD_ANEW) < until);
+    /// Extends the cold start to `until`; returns whether that is a new cold start.
+    pub(super) fn extend_cold(&mut self, until: Instant) -> bool {
+        let is_new = self.cold_until.is_none_or(|known| known.after(MIN_COLD_EXTENSION) < until);
         self.cold_until = self.cold_until.max(Some(until));
         is_new
     }
 
-    /// Takes what a record says beyond what is known; tells whether that is anything.
+    /// Merges a record of the same run; returns whether it contains anything new.
     fn merge(&mut self, record: EndpointRecord, address: SocketAddr, heard: Instant) -> bool {
         let newer = self.record.sequence < record.sequence;
         if newer && !record.silent {
             self.heard = self.heard.max(heard);
-            self.recalled = false;
+            self.restored = false;
         }
         let cold = cold_until(&record, heard).filter(|_| newer);
-        let is_cold_anew = cold.is_some_and(|until| self.cool(until));
+        let is_new_cold_start = cold.is_some_and(|until| self.extend_cold(until));
         let known = &self.record;
         let mut merged = if newer { record.clone() } else { known.clone() };
-        // It may have begun to leave by a message without a number.
+        // A leaving notice may come without a heartbeat number.
         merged.leaving = known.leaving || record.leaving;
-        // Of two that know the same heartbeat, the one that misses the next is right. Every
-        // field only ever goes one way, so that news dies out whatever order it comes in.
+        // Of two daemons with the same heartbeat, the one that misses the next is right. Each field
+        // changes in one direction only, so that forwarding terminates in any order of arrival.
         if known.sequence == record.sequence {
             merged.silent = known.silent || record.silent;
         }
-        let same =
+        let unchanged =
             EndpointRecord { sequence: known.sequence, cold_ms: known.cold_ms, ..merged.clone() }
                 == *known;
         self.record = merged;
         self.address = address;
-        !same || is_cold_anew
+        !unchanged || is_new_cold_start
     }
 
-    pub(super) fn note_state(&mut self, now: Instant) {
+    pub(super) fn update_timers(&mut self, now: Instant) {
         if self.record.leaving {
             self.leaving_since.get_or_insert(now);
         }
@@ -88,20 +88,19 @@
     }
 }
 
-/// Until when an endpoint is cold by a record that was heard then.
+/// End of the cold start that a record heard at `heard` reports.
 fn cold_until(record: &EndpointRecord, heard: Instant) -> Option<Instant> {
     (0 < record.cold_ms).then(|| heard.after(Duration::from_millis(record.cold_ms)))
 }
 
-/// All of them. Looked for by address they are found in the same time whatever their number: one after
-/// the other they kept an entry of 0.12 cores busy for 0.4 s when it learned of 3,000.
+/// The endpoints. The index by address avoids a scan of all endpoints for each new record.
 #[derive(Debug, Default)]
-pub(super) struct KnownEndpoints {
-    by_id: BTreeMap<Arc<str>, Known>,
+pub(super) struct EndpointTable {
+    by_id: BTreeMap<Arc<str>, EndpointState>,
     by_address: HashMap<SocketAddr, BTreeSet<Arc<str>>>,
 }
 
-impl KnownEndpoints {
+impl EndpointTable {
     pub(super) fn len(&self) -> usize {
         self.by_id.len()
     }
@@ -110,63 +109,63 @@
         self.by_id.contains_key(id)
     }
 
-    pub(super) fn get(&self, id: &str) -> Option<&Known> {
+    pub(super) fn get(&self, id: &str) -> Option<&EndpointState> {
         self.by_id.get(id)
     }
 
-    /// One whose address is not changed by this.
-    pub(super) fn get_mut(&mut self, id: &str) -> Option<&mut Known> {
+    /// The caller must not change the address.
+    pub(super) fn get_mut(&mut self, id: &str) -> Option<&mut EndpointState> {
         self.by_id.get_mut(id)
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &Known)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &EndpointState)> {
         self.by_id.iter()
     }
 
-    pub(super) fn values(&self) -> impl Iterator<Item = &Known> {
+    pub(super) fn values(&self) -> impl Iterator<Item = &EndpointState> {
         self.by_id.values()
     }
 
-    /// Those that are known at an address.
-    pub(super) fn at(&self, address: SocketAddr) -> impl Iterator<Item = &Known> {
+    /// Endpoints at an address.
+    pub(super) fn at(&self, address: SocketAddr) -> impl Iterator<Item = &EndpointState> {
         let ids = self.by_address.get(&address).into_iter().flatten();
         ids.filter_map(|id| self.by_id.get(id))
     }
 
-    pub(super) fn insert(&mut self, id: Arc<str>, known: Known) {
+    pub(super) fn insert(&mut self, id: Arc<str>, known: EndpointState) {
         self.by_address.entry(known.address).or_default().insert(id.clone());
         self.by_id.insert(id, known);
     }
 
     pub(super) fn remove(&mut self, id: &str) {
         if let Some((id, known)) = self.by_id.remove_entry(id) {
-            self.leave_address(&id, known.address);
+            self.remove_from_address(&id, known.address);
         }
     }
 
-    pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut Known> {
+    pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut EndpointState> {
         self.by_id.values_mut()
     }
 
-    /// Removes those that are known at an address.
+    /// Removes the endpoints at an address.
     pub(super) fn remove_at(&mut self, address: SocketAddr) {
         for id in self.by_address.remove(&address).into_iter().flatten() {
             self.by_id.remove(&id);
         }
     }
 
-    /// Takes what a record says of an endpoint that is known; returns the endpoint and whether that
-    /// is anything new.
+    /// Merges a record into a known endpoint; returns its state and whether the record contains
+    /// anything new.
     pub(super) fn merge(
         &mut self,
         id: &Arc<str>,
         record: EndpointRecord,
         address: SocketAddr,
         heard: Instant,
-    ) -> Option<(&mut Known, bool)> {
+    ) -> Option<(&mut EndpointState, bool)> {
         let before = self.by_id.get(id)?.address;
         if before != address {
-            self.leave_address(id, before);
+            self.remove_from_address(id, before);
             self.by_address.entry(address).or_default().insert(id.clone());
         }
         let known = self.by_id.get_mut(id)?;
@@ -174,7 +173,7 @@
         Some((known, is_new))
     }
 
-    fn leave_address(&mut self, id: &Arc<str>, address: SocketAddr) {
+    fn remove_from_address(&mut self, id: &Arc<str>, address: SocketAddr) {
         if let Some(ids) = self.by_address.get_mut(&address) {
             ids.remove(id);
             if ids.is_empty() {
--- a/crates/core/src/registry/run_tests.rs
+++ b/crates/core/src/registry/run_tests.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under the name that they had.
+//! Endpoints that restart under the same name.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
 
-/// A heartbeat of the run of `e` that was started then.
+/// A heartbeat of the run of `e` with this start time.
 fn beat(born: u64, sequence: u64) -> EndpointRecord {
     EndpointRecord {
         id: "e".into(),
@@ -28,8 +28,8 @@
     Instant(s * 1_000_000)
 }
 
-/// The runs of `e` that may get new work, by their starts.
-fn open_runs(registry: &Registry) -> Vec<u64> {
+/// Start times of the available runs of `e`.
+fn available_runs(registry: &Registry) -> Vec<u64> {
     let endpoints = registry.endpoints(&HallsOut::default());
     endpoints
         .into_iter()
@@ -39,83 +39,83 @@
 }
 
 #[gtest]
-fn a_run_that_starts_anew_is_known_at_once_though_its_heartbeats_are_counted_anew() {
+fn restarted_run_replaces_the_former_one_at_once() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(beat(100, 57), seconds(0));
 
-    let news = registry.apply(beat(200, 1), seconds(2));
+    let update = registry.apply(beat(200, 1), seconds(2));
 
-    expect_that!(news, some(anything()));
-    expect_that!(open_runs(&registry), elements_are![eq(&200)]);
+    expect_that!(update, some(anything()));
+    expect_that!(available_runs(&registry), elements_are![eq(&200)]);
 }
 
 #[gtest]
-fn nothing_that_a_former_run_has_said_holds_for_the_new_one() {
+fn new_run_does_not_inherit_state() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(EndpointRecord { cold_ms: 60_000, ..beat(100, 57) }, seconds(0));
     registry.mark_leaving("e", 0, seconds(1));
 
     registry.apply(beat(200, 1), seconds(2));
 
-    expect_that!(open_runs(&registry), elements_are![eq(&200)]);
+    expect_that!(available_runs(&registry), elements_are![eq(&200)]);
     expect_that!(registry.cold_endpoints().count(), eq(0));
 }
 
 #[gtest]
-fn a_heartbeat_of_a_former_run_that_a_cut_has_held_up_changes_nothing() {
+fn delayed_heartbeat_of_a_former_run_is_ignored() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(beat(100, 57), seconds(0));
     registry.apply(beat(200, 1), seconds(2));
 
     let leaving = EndpointRecord { leaving: true, ..beat(100, 58) };
-    let news = [registry.apply(leaving, seconds(3)), registry.apply(beat(100, 59), seconds(3))];
+    let update = [registry.apply(leaving, seconds(3)), registry.apply(beat(100, 59), seconds(3))];
 
-    expect_that!(news, each(none()));
-    expect_that!(open_runs(&registry), elements_are![eq(&200)]);
+    expect_that!(update, each(none()));
+    expect_that!(available_runs(&registry), elements_are![eq(&200)]);
 }
 
 #[gtest]
-fn a_run_that_has_left_and_was_forgotten_does_not_come_back_but_a_later_one_does() {
+fn departed_run_does_not_return_but_a_later_one_registers() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(beat(100, 57), seconds(0));
     registry.mark_leaving("e", 0, seconds(1));
     registry.expire(seconds(70));
 
     let late = registry.apply(beat(100, 58), seconds(71));
-    let anew = registry.apply(beat(200, 1), seconds(72));
+    let later = registry.apply(beat(200, 1), seconds(72));
 
     expect_that!(late, none());
-    expect_that!(anew, some(anything()));
-    expect_that!(open_runs(&registry), elements_are![eq(&200)]);
+    expect_that!(later, some(anything()));
+    expect_that!(available_runs(&registry), elements_are![eq(&200)]);
 }
 
 #[gtest]
-fn word_that_a_former_run_has_left_does_not_close_the_new_one() {
+fn departure_of_a_former_run_does_not_affect_the_new_one() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(beat(200, 1), seconds(0));
     let name_only =
         EndpointRecord { id: "e".into(), leaving: true, born: 100, ..EndpointRecord::default() };
 
-    let news = registry.apply(name_only, seconds(1));
+    let update = registry.apply(name_only, seconds(1));
 
-    expect_that!(news, none());
-    expect_that!(open_runs(&registry), elements_are![eq(&200)]);
+    expect_that!(update, none());
+    expect_that!(available_runs(&registry), elements_are![eq(&200)]);
 }
 
 #[gtest]
-fn one_that_does_not_say_when_it_was_started_takes_no_place_of_one_that_does() {
+fn record_without_start_time_does_not_replace_a_run() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(beat(100, 3), seconds(0));
 
     let foreign = EndpointRecord { address: "10.9.9.9:1".into(), ..beat(0, 99) };
-    let news = registry.apply(foreign, seconds(1));
+    let update = registry.apply(foreign, seconds(1));
 
-    expect_that!(news, none());
-    expect_that!(open_runs(&registry), elements_are![eq(&100)]);
+    expect_that!(update, none());
+    expect_that!(available_runs(&registry), elements_are![eq(&100)]);
 }
 
 #[gtest]
-fn an_address_goes_to_the_run_that_was_started_last_at_once() {
+fn latest_started_run_takes_the_address_at_once() {
     let mut registry = Registry::new(HEARTBEAT);
     let other = |born, sequence| EndpointRecord { id: "other".into(), ..beat(born, sequence) };
     registry.apply(beat(100, 3), seconds(10));
@@ -125,23 +125,23 @@
 
     expect_that!(later, some(anything()));
     expect_that!(earlier, none());
-    expect_that!(open_runs(&registry), elements_are![eq(&200)]);
+    expect_that!(available_runs(&registry), elements_are![eq(&200)]);
 }
 
-/// What happens to the runs of one endpoint and to those who hear of them.
+/// Events of the runs of one endpoint.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// A heartbeat that this run has sent reaches a control VM, however late.
+    /// A heartbeat of this run reaches a control VM, however late.
     Heartbeat { run: u64, sequence: u64, at: usize },
-    /// The same, and the run is leaving.
+    /// A heartbeat of this run that announces its leaving.
     Leaving { run: u64, sequence: u64, at: usize },
-    /// All that a control VM knows comes to the entry, as when it is linked anew.
+    /// The entry reconnects to a control VM and receives all its records.
     Link { at: usize },
-    /// A control VM starts anew, from what it had on disk.
+    /// A control VM restarts from the records on its disk.
     Restart { at: usize },
 }
 
-/// Runs before the last one.
+/// Number of runs before the last one.
 const FORMER: u64 = 3;
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -155,7 +155,7 @@
     proptest::collection::vec(step, 0..20)
 }
 
-/// Two control VMs that pass news on, and an entry that hears both.
+/// Two control VMs that forward records, and an entry that hears both.
 struct Daemons {
     vms: Vec<Registry>,
     now: Instant,
@@ -163,13 +163,13 @@
 
 impl Daemons {
     fn hear(&mut self, at: usize, record: EndpointRecord) {
-        if let Some(news) = self.vms[at].apply(record, self.now) {
-            self.vms[1 - at].apply(news.clone(), self.now);
-            self.vms[2].apply(news, self.now);
+        if let Some(update) = self.vms[at].apply(record, self.now) {
+            self.vms[1 - at].apply(update.clone(), self.now);
+            self.vms[2].apply(update, self.now);
         }
     }
 
-    fn carry_out(&mut self, step: Step) {
+    fn run_step(&mut self, step: Step) {
         self.now = self.now.after(Duration::from_millis(100));
         match step {
             Step::Heartbeat { run, sequence, at } => self.hear(at, beat(run * 100, sequence)),
@@ -195,23 +195,23 @@
 proptest! {
     #![proptest_config(fixed_seed(1_000))]
 
-    /// Whatever former runs have said comes late and in any order, also before the last run's first
-    /// heartbeat: once one of its heartbeats is heard it is known everywhere, and it stays so.
+    /// Once a heartbeat of the last run is heard all daemons know it, and no delayed record of
+    /// former runs replaces it.
     #[test]
-    fn the_last_run_is_known_and_no_former_one_comes_back(before in steps(), after in steps()) {
+    fn last_run_is_known_and_former_runs_do_not_return(before in steps(), after in steps()) {
         let vms = (0..3).map(|_| Registry::new(HEARTBEAT)).collect();
         let mut daemons = Daemons { vms, now: seconds(10) };
-        before.into_iter().for_each(|step| daemons.carry_out(step));
+        before.into_iter().for_each(|step| daemons.run_step(step));
         let last = (FORMER + 1) * 100;
 
         daemons.hear(0, beat(last, 1));
         for vm in &daemons.vms {
-            prop_assert_eq!(open_runs(vm), vec![last]);
+            prop_assert_eq!(available_runs(vm), vec![last]);
         }
         for step in after {
-            daemons.carry_out(step);
+            daemons.run_step(step);
             for vm in &daemons.vms {
-                prop_assert_eq!(open_runs(vm), vec![last]);
+                prop_assert_eq!(available_runs(vm), vec![last]);
             }
         }
     }
--- a/crates/core/src/registry/silence.rs
+++ b/crates/core/src/registry/silence.rs
@@ -1,55 +1,57 @@
-//! Finds the endpoints whose heartbeats have stopped.
+//! Detects endpoints whose heartbeats have stopped.
 
 use std::sync::Arc;
 
-use super::{Registry, known::Known};
+use super::{Registry, endpoint_table::EndpointState};
 use crate::{units::Instant, wire::EndpointRecord};
 
-/// Heartbeats that may be missed before an endpoint counts as silent.
+/// Missed heartbeats after which an endpoint is silent.
 const MISSED_HEARTBEATS: u32 = 4;
-/// The same for one that is only remembered from before this daemon's start: it may have left
-/// meanwhile, and its heartbeat comes within one interval if it has not.
-const MISSED_IF_RECALLED: u32 = 2;
-/// The shorter time holds while no more of them are missing than this, or one in so many of those that
-/// are heard. After a failure of all control VMs thousands of heartbeats come late, and word of 3,000
-/// silent endpoints to 300 daemons (108 MB) would hold up the leader that has just been elected.
-const FEW_RECALLED: usize = 32;
-const SMALL_PART_RECALLED: usize = 4;
+/// Missed heartbeats after which a restored endpoint is silent: it may have left during the
+/// restart, and would otherwise send a heartbeat within one interval.
+const MISSED_HEARTBEATS_RESTORED: u32 = 2;
+/// The shorter limit for restored endpoints applies up to this number of overdue ones, or if they
+/// are a small fraction of those heard. After a failure of all control VMs thousands of heartbeats
+/// are late, and announcing so many silent endpoints would overload the new leader.
+const MAX_OVERDUE_RESTORED: usize = 32;
+const MIN_HEARD_PER_OVERDUE: usize = 4;
 
 impl Registry {
-    /// Finds the endpoints whose heartbeats have stopped since the last call. Only control
-    /// VMs hear every heartbeat.
+    /// Marks endpoints whose heartbeats stopped since the last call as silent, and returns their
+    /// records. Only control VMs hear all heartbeats.
     pub fn detect_silent(&mut self, now: Instant) -> Vec<EndpointRecord> {
         let limit = self.heartbeat * MISSED_HEARTBEATS;
-        let is_heard = |known: &Known| !known.recalled && now.since(known.heard) < limit;
+        let is_heard = |known: &EndpointState| !known.restored && now.since(known.heard) < limit;
         let heard = self.known.values().filter(|known| is_heard(known)).count();
-        let overdue = self.overdue(MISSED_IF_RECALLED, now).filter(|known| known.recalled).count();
-        // After a start many heartbeats may be late, as all are sent elsewhere first.
-        let waits = FEW_RECALLED < overdue && heard < overdue * SMALL_PART_RECALLED;
-        let missed = if waits { MISSED_HEARTBEATS } else { MISSED_IF_RECALLED };
-        let recalled = self.overdue(missed, now).filter(|known| known.recalled);
-        let others = self.overdue(MISSED_HEARTBEATS, now).filter(|known| !known.recalled);
+        let overdue =
+            self.overdue(MISSED_HEARTBEATS_RESTORED, now).filter(|known| known.restored).count();
+        // After a restart many heartbeats may be late, since endpoints first try other control VMs.
+        let is_backlogged =
+            MAX_OVERDUE_RESTORED < overdue && heard < overdue * MIN_HEARD_PER_OVERDUE;
+        let missed = if is_backlogged { MISSED_HEARTBEATS } else { MISSED_HEARTBEATS_RESTORED };
+        let restored = self.overdue(missed, now).filter(|known| known.restored);
+        let others = self.overdue(MISSED_HEARTBEATS, now).filter(|known| !known.restored);
         let silent: Vec<Arc<str>> =
-            recalled.chain(others).map(|known| known.record.id.as_str().into()).collect();
-        // Where most are not heard the fault is more likely here than at every endpoint.
+            restored.chain(others).map(|known| known.record.id.as_str().into()).collect();
+        // If most endpoints are not heard, the fault is more likely on this side.
         if heard < silent.len() {
             return Vec::new();
         }
-        silent.into_iter().filter_map(|id| self.fall_silent(&id, now)).collect()
+        silent.into_iter().filter_map(|id| self.mark_silent(&id, now)).collect()
     }
 
-    /// Those that are not known to be silent and have missed so many heartbeats.
-    fn overdue(&self, missed: u32, now: Instant) -> impl Iterator<Item = &Known> {
+    /// Endpoints that missed this many heartbeats and are not yet marked as silent.
+    fn overdue(&self, missed: u32, now: Instant) -> impl Iterator<Item = &EndpointState> {
         let limit = self.heartbeat * missed;
         self.known
             .values()
             .filter(move |known| !known.record.silent && limit <= now.since(known.heard))
     }
 
-    fn fall_silent(&mut self, id: &str, now: Instant) -> Option<EndpointRecord> {
+    fn mark_silent(&mut self, id: &str, now: Instant) -> Option<EndpointRecord> {
         let known = self.known.get_mut(id)?;
         known.record.silent = true;
-        known.note_state(now);
+        known.update_timers(now);
         self.revision += 1;
         Some(known.record.clone())
     }
--- a/crates/core/src/registry/tests.rs
+++ b/crates/core/src/registry/tests.rs
@@ -28,33 +28,33 @@
 }
 
 #[gtest]
-fn a_late_heartbeat_does_not_bring_a_leaving_endpoint_back() {
+fn delayed_heartbeat_does_not_revive_a_leaving_endpoint() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(record("a", 1, false), seconds(0));
     registry.apply(record("a", 3, true), seconds(1));
 
-    let news = registry.apply(record("a", 2, false), seconds(2));
+    let update = registry.apply(record("a", 2, false), seconds(2));
 
-    expect_that!(news, none());
+    expect_that!(update, none());
     expect_that!(registry.unavailable().count(), eq(1));
 }
 
 #[gtest]
-fn a_heartbeat_after_the_farewell_does_not_bring_the_endpoint_back() {
+fn heartbeat_after_deregistration_does_not_revive_an_endpoint() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(record("a", 1, false), seconds(0));
-    let farewell = registry.mark_leaving("a", 0, seconds(1));
+    let first = registry.mark_leaving("a", 0, seconds(1));
     let again = registry.mark_leaving("a", 0, seconds(1));
 
     registry.apply(record("a", 2, false), seconds(2));
 
-    expect_that!(farewell, some(anything()));
+    expect_that!(first, some(anything()));
     expect_that!(again, none());
     expect_that!(registry.unavailable().count(), eq(1));
 }
 
 #[gtest]
-fn an_address_belongs_to_the_run_that_claimed_it_last() {
+fn latest_run_owns_the_address() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(record("a", 9, false), seconds(0));
 
@@ -66,7 +66,7 @@
 }
 
 #[gtest]
-fn only_what_is_new_is_passed_on() {
+fn only_new_information_is_forwarded() {
     let mut registry = Registry::new(HEARTBEAT);
 
     let first = registry.apply(record("a", 1, false), seconds(0));
@@ -79,7 +79,7 @@
 }
 
 #[gtest]
-fn silence_closes_an_endpoint_and_a_heartbeat_opens_it_again() {
+fn silent_endpoint_is_unavailable_until_its_next_heartbeat() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(record("a", 1, false), seconds(0));
     let other = EndpointRecord { address: "10.0.0.2:80".into(), ..record("b", 1, false) };
@@ -96,7 +96,7 @@
 }
 
 #[gtest]
-fn while_nobody_is_heard_no_endpoint_is_closed() {
+fn no_endpoint_is_silent_while_none_is_heard() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(record("a", 1, false), seconds(0));
 
@@ -108,9 +108,9 @@
 proptest! {
     #![proptest_config(fixed_seed(500))]
 
-    /// Two daemons that get the same heartbeats in any order agree on who takes work.
+    /// Daemons agree on availability when they receive the same heartbeats in any order.
     #[test]
-    fn order_of_arrival_does_not_matter(
+    fn order_of_heartbeats_does_not_matter(
         mut beats in proptest::collection::vec((1u64..20, any::<bool>()), 1..12),
         rotate in 0usize..12,
     ) {
@@ -132,7 +132,7 @@
 }
 
 #[gtest]
-fn farewells_of_names_that_nobody_knows_take_bounded_memory() {
+fn deregistrations_of_unknown_names_use_bounded_memory() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(record("a", 1, false), seconds(0));
     let other = EndpointRecord { address: "10.0.0.2:80".into(), ..record("b", 1, false) };
@@ -142,29 +142,28 @@
         registry.mark_leaving(&format!("made-up-{n}"), 0, seconds(2));
     }
 
-    expect_that!(registry.forgotten.len(), le(4_096));
+    expect_that!(registry.departed.len(), le(4_096));
     expect_that!(registry.mark_leaving("made-up-19999", 0, seconds(3)), none());
 }
 
-/// Passes news between control VMs, in order, until nothing new is left; returns the number of
-/// messages.
-fn pass_on(vms: &mut [Registry], first: Vec<EndpointRecord>) -> usize {
+/// Forwards records between control VMs until nothing is new; returns the number of messages.
+fn forward_all(vms: &mut [Registry], first: Vec<EndpointRecord>) -> usize {
     let mut queue: VecDeque<(usize, EndpointRecord)> = first.into_iter().enumerate().collect();
-    let mut passed = 0;
-    while let Some((from, news)) = queue.pop_front() {
-        passed += 1;
-        assert!(passed < 1_000, "news goes around forever");
+    let mut forwarded = 0;
+    while let Some((from, update)) = queue.pop_front() {
+        forwarded += 1;
+        assert!(forwarded < 1_000, "news goes around forever");
         for (at, vm) in vms.iter_mut().enumerate().filter(|(at, _)| *at != from) {
-            if let Some(new) = vm.apply(news.clone(), seconds(1)) {
+            if let Some(new) = vm.apply(update.clone(), seconds(1)) {
                 queue.push_back((at, new));
             }
         }
     }
-    passed
+    forwarded
 }
 
 #[gtest]
-fn news_dies_out_also_when_control_vms_disagree_about_silence() {
+fn forwarding_terminates_when_control_vms_disagree_on_silence() {
     let mut vms: Vec<Registry> = (0..4).map(|_| Registry::new(HEARTBEAT)).collect();
     let known =
         |at: usize| EndpointRecord { silent: at.is_multiple_of(2), ..record("a", 7, false) };
@@ -172,16 +171,16 @@
         vm.apply(known(at), seconds(0));
     }
 
-    let passed = pass_on(&mut vms, (0..4).map(known).collect());
+    let forwarded = forward_all(&mut vms, (0..4).map(known).collect());
 
-    expect_that!(passed, lt(50));
+    expect_that!(forwarded, lt(50));
     let closed: Vec<usize> = vms.iter().map(|vm| vm.unavailable().count()).collect();
     expect_that!(closed, each(eq(&0)));
     expect_that!(vms.iter().all(|vm| vm.records().all(|r| r.silent)), eq(true));
 }
 
 #[gtest]
-fn endpoints_stay_open_when_all_of_their_service_are_silent() {
+fn endpoints_stay_available_when_all_of_a_service_are_silent() {
     let mut registry = Registry::new(HEARTBEAT);
     let other = |id: &str, silent| EndpointRecord {
         address: format!("10.0.0.{}:80", id.len() + 1),
@@ -199,7 +198,7 @@
 }
 
 #[gtest]
-fn a_recalled_endpoint_is_open_until_its_heartbeat_fails_to_come() {
+fn restored_endpoint_is_available_until_it_misses_heartbeats() {
     let mut registry = Registry::new(HEARTBEAT);
     let here = EndpointRecord { address: "10.0.0.2:80".into(), ..record("here", 7, false) };
     registry.restore(vec![record("gone", 9, false), here.clone()], seconds(0));
@@ -214,7 +213,7 @@
     expect_that!(registry.unavailable().count(), eq(1));
 }
 
-/// Endpoints of these numbers with a heartbeat of this number.
+/// Records of the endpoints with these numbers, with this heartbeat number.
 fn endpoints(numbers: std::ops::Range<u64>, sequence: u64) -> Vec<EndpointRecord> {
     let of = |n: u64| EndpointRecord {
         id: format!("e{n}"),
@@ -225,7 +224,7 @@
 }
 
 #[gtest]
-fn many_recalled_endpoints_whose_heartbeats_are_late_are_not_taken_for_silent() {
+fn many_late_restored_endpoints_are_not_silent() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.restore(endpoints(0..1_000, 7), seconds(0));
     for heard in endpoints(0..600, 8) {
@@ -243,7 +242,7 @@
 }
 
 #[gtest]
-fn while_most_are_not_heard_no_endpoint_is_taken_for_silent() {
+fn no_endpoint_is_silent_while_most_are_unheard() {
     let mut registry = Registry::new(HEARTBEAT);
     for heard in endpoints(0..100, 1) {
         registry.apply(heard, seconds(0));
@@ -263,7 +262,7 @@
 }
 
 #[gtest]
-fn a_recalled_endpoint_that_was_leaving_gets_no_new_work() {
+fn restored_leaving_endpoint_is_unavailable() {
     let mut registry = Registry::new(HEARTBEAT);
 
     registry.restore(vec![record("a", 9, true)], seconds(0));
@@ -272,7 +271,7 @@
 }
 
 #[gtest]
-fn what_was_heard_since_the_start_goes_before_what_is_recalled() {
+fn heard_records_take_precedence_over_restored_ones() {
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(record("a", 9, true), seconds(0));
 
@@ -281,8 +280,8 @@
     expect_that!(registry.unavailable().count(), eq(1));
 }
 
-/// Names of the endpoints that may get new work.
-pub(super) fn open_endpoints(registry: &Registry) -> Vec<String> {
+/// Names of the available endpoints.
+pub(super) fn available_endpoints(registry: &Registry) -> Vec<String> {
     let endpoints =
         registry.endpoints(&HallsOut::default()).into_iter().filter(|endpoint| endpoint.available);
     endpoints.map(|endpoint| endpoint.id.to_string()).collect()
