--- a/crates/core/src/retry_budget/tests.rs
+++ b/crates/core/src/retry_budget/tests.rs
@@ -1,4 +1,4 @@
-//! Properties of limits.
+//! Properties of the retry budget.
 
 use proptest::prelude::*;
 
@@ -8,7 +8,7 @@
     #![proptest_config(crate::testing::fixed_seed(300))]
 
     #[test]
-    fn retries_stay_in_proportion_to_requests(is_request in proptest::collection::vec(any::<bool>(), 0..2000)) {
+    fn retries_are_proportional_to_requests(is_request in proptest::collection::vec(any::<bool>(), 0..2000)) {
         let mut budget = RetryBudget::default();
         let (mut requests, mut retries) = (0.0, 0.0);
         for request in is_request {
@@ -18,7 +18,7 @@
             } else if budget.take_retry() {
                 retries += 1.0;
             }
-            prop_assert!(retries <= BURST + requests * PER_REQUEST);
+            prop_assert!(retries <= MAX_RETRIES + requests * RETRIES_PER_REQUEST);
         }
     }
 }
--- a/crates/core/src/signals.rs
+++ b/crates/core/src/signals.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves in the heads of their answers, whatever was asked.
+//! State that endpoints report in response headers, whatever the request.
 
 use std::{fmt, time::Duration};
 
@@ -7,16 +7,16 @@
     throttle::{InvalidRateLimit, RateLimit, describe_limit},
 };
 
-/// What an endpoint says of itself in the head of an answer.
+/// State that an endpoint reports in the headers of a response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EndpointSignals {
-    /// How many requests a second it takes from all daemons together.
+    /// Rate limit for the requests of all daemons together.
     pub limit: Result<Option<RateLimit>, InvalidRateLimit>,
-    /// How long it wants nothing from this daemon, where it rejects a request.
+    /// Back-off requested by a rejection.
     pub retry_after: Result<Option<RetryAfter>, InvalidRetryAfter>,
-    /// Whether it is about to end.
+    /// Whether the endpoint is about to end.
     pub leaving: Result<bool, InvalidFlag>,
-    /// For how much longer it is slow after its start.
+    /// Remaining time for which the endpoint is slow after its start.
     pub cold_for: Result<Option<Duration>, InvalidMillis>,
 }
 
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InvalidFlag;
 
-/// A text that is no whole number of milliseconds.
+/// A value that is not a whole number of milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InvalidMillis;
 
@@ -52,23 +52,23 @@
 }
 
 impl EndpointSignals {
-    /// The limit that it names, as lines of the log tell it.
+    /// Formats the rate limit for log fields; `-` if there is none.
     pub fn describe_limit(&self) -> String {
         describe_limit(self.limit.ok().flatten())
     }
 
-    /// The back-off that it asks for in milliseconds, as lines of the log tell it.
+    /// Formats the back-off in milliseconds for log fields; `-` if there is none.
     pub fn describe_backoff(&self) -> String {
         let backoff = self.backoff();
         backoff.map_or_else(|| "-".to_owned(), |backoff| backoff.as_millis().to_string())
     }
 
-    /// The back-off that it asks for.
+    /// The requested back-off, if any.
     pub fn backoff(&self) -> Option<Duration> {
         self.retry_after.ok().flatten().map(RetryAfter::duration)
     }
 
-    /// Whether it says that it is about to end.
+    /// Whether the endpoint reports that it is about to end.
     pub fn is_leaving(&self) -> bool {
         self.leaving.unwrap_or_default()
     }
