--- a/crates/core/src/config/route.rs
+++ b/crates/core/src/config/route.rs
@@ -61,7 +61,7 @@
     pub target_latency: Duration,
     /// Maximum acceptable time between two events of a stream.
     pub longest_gap: Duration,
-    /// Maximum number of endpoints that a request may be sent to.
+    /// Maximum number of attempts of a request, each on one endpoint.
     pub max_attempts: u32,
     /// Whether requests without a workspace key are accepted.
     pub public: bool,
--- a/crates/core/src/config/schema.rs
+++ b/crates/core/src/config/schema.rs
@@ -50,7 +50,7 @@
 /// Settings of a kind of request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KindSpec {
-    /// Weight of a request when the received service of workspaces is compared.
+    /// Priority within a tier; kinds with a higher weight are served first.
     pub weight: u64,
     /// Maximum time in the queue before the request is rejected.
     pub max_wait: Duration,
