--- a/crates/core/src/node/inputs.rs
+++ b/crates/core/src/node/inputs.rs
@@ -204,8 +204,8 @@
             Body::Directory(message) => self.directory.on_directory(from, message, clocks.now, out),
             Body::EndpointNews(news) => self.on_endpoint_news(from, news, clocks.now),
             Body::EndpointDigest(EndpointDigest { sums }) => {
-                // A release with other parts sends a digest that cannot be compared; changes still
-                // arrive as news.
+                // A release with another number of buckets sends a digest that cannot be compared;
+                // changes still arrive as news.
                 if let Some(digest) = RegistryDigest::from_sums(sums) {
                     self.endpoint_sync.on_digest(from, digest, clocks.now);
                 }
--- a/crates/core/src/node/messages.rs
+++ b/crates/core/src/node/messages.rs
@@ -65,9 +65,9 @@
         /// Timeout.
         limit: Duration,
     },
-    /// Ask for a permit at one of several rate-limited endpoints. The node fills in the asker.
+    /// Ask for a permit at one of several rate-limited endpoints. The node fills in the requester.
     Permit(PermitRequest<CallId>),
-    /// Clear a suspect: delete the record of endpoints that ended while running it.
+    /// Clear a suspect: delete its crash record.
     ClearSuspect {
         /// The request.
         request: RequestDigest,
@@ -89,8 +89,8 @@
     pub endpoint: Arc<str>,
     /// Priority to pass to the engine.
     pub priority: u64,
-    /// The endpoints that this daemon has drawn at random, the one above among them, while no
-    /// scheduler answers; none where a scheduler has granted the place.
+    /// Endpoints that this daemon sampled for a local placement, including the chosen one; empty if
+    /// a scheduler placed the request.
     pub sampled: Vec<SampledEndpoint>,
 }
 
@@ -172,7 +172,7 @@
     },
     /// The caller of a request has disconnected.
     Cancelled(CallId),
-    /// An attempt at an endpoint broke off.
+    /// An attempt failed before its response was complete.
     FailedAttempt(FailedAttempt),
     /// A possible suspect was answered completely outside of a trial.
     AnswerCompleted(RequestDigest),
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -6,7 +6,7 @@
 //! On every daemon:
 //!
 //! - [`control_client`] polls the leader and tracks whether the active configuration is current;
-//!   [`config_store`] holds that configuration and [`fetching`] downloads newer ones;
+//!   [`config_store`] holds that configuration and [`config_fetch`] downloads newer ones;
 //! - [`operations`] sends changes of the replicated state to the leader;
 //! - [`placement_client`] places this daemon's requests;
 //! - [`permit_client`] requests permits for endpoints with rate limits;
@@ -16,7 +16,7 @@
 //! On control VMs:
 //!
 //! - [`control`] runs a control replica and, on the leader, serves the daemons;
-//! - [`changes`] stores configuration changes for daemons that fetch them;
+//! - [`config_changes`] stores configuration changes for daemons that fetch them;
 //! - [`dispatcher`] schedules the requests of all daemons on the leader;
 //! - [`permit_allocator`] grants permits on the leader.
 
--- a/crates/core/src/registry/address_tests.rs
+++ b/crates/core/src/registry/address_tests.rs
@@ -14,7 +14,7 @@
     let mut registry = Registry::new(HEARTBEAT);
     registry.apply(record("new", 3, false), seconds(5));
 
-    // A delayed heartbeat of a former run that this daemon did not know.
+    // A delayed heartbeat of a previous run that this daemon did not know.
     let update = registry.apply(record("former", 17, false), seconds(6));
 
     expect_that!(update, none());
@@ -89,7 +89,7 @@
 enum Step {
     /// A heartbeat of the new run reaches this control VM, which forwards it.
     Heartbeat(usize),
-    /// A delayed heartbeat of the former run reaches this control VM.
+    /// A delayed heartbeat of the previous run reaches this control VM.
     DelayedHeartbeat(usize),
     /// The entry reconnects to this control VM and receives all its records.
     Link(usize),
@@ -107,7 +107,7 @@
 proptest! {
     #![proptest_config(fixed_seed(500))]
 
-    /// Two control VMs that may know the former run, and an entry. After any sequence of delayed
+    /// Two control VMs that may know the previous run, and an entry. After any sequence of delayed
     /// records and two more heartbeats all know only the new run.
     #[test]
     fn former_run_never_replaces_the_new_one(
