--- a/crates/core/src/agreement/replica/leader.rs
+++ b/crates/core/src/agreement/replica/leader.rs
@@ -24,7 +24,8 @@
 
 impl Replica {
     /// Asks for a confirmation that this replica leads now. The token comes back
-    /// in [`Ready::reads`] or [`Ready::failed_reads`].
+    /// in [`Ready::reads`](crate::agreement::Ready::reads) or
+    /// [`Ready::failed_reads`](crate::agreement::Ready::failed_reads).
     pub fn read(&mut self, token: u64, now: Instant) {
         if !self.is_established() {
             self.ready.failed_reads.push(token);
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -5,20 +5,20 @@
 //!
 //! On every daemon:
 //!
-//! - [`control_client`] polls the leader and tracks whether the active configuration is current;
-//!   [`config_store`] holds that configuration and [`config_fetch`] downloads newer ones;
-//! - [`operations`] sends changes of the replicated state to the leader;
-//! - [`placement_client`] places this daemon's requests;
-//! - [`permit_client`] requests permits for endpoints with rate limits;
-//! - [`suspect_tracker`] tracks requests that may crash endpoints;
-//! - [`directory`] lists the control VMs and [`endpoints`] the endpoints that register.
+//! - `control_client` polls the leader and tracks whether the active configuration is current;
+//!   `config_store` holds that configuration and `config_fetch` downloads newer ones;
+//! - `operations` sends changes of the replicated state to the leader;
+//! - `placement_client` places this daemon's requests;
+//! - `permit_client` requests permits for endpoints with rate limits;
+//! - `suspect_tracker` tracks requests that may crash endpoints;
+//! - `directory` lists the control VMs and `endpoints` the endpoints that register.
 //!
 //! On control VMs:
 //!
-//! - [`control`] runs a control replica and, on the leader, serves the daemons;
-//! - [`config_changes`] stores configuration changes for daemons that fetch them;
-//! - [`dispatcher`] schedules the requests of all daemons on the leader;
-//! - [`permit_allocator`] grants permits on the leader.
+//! - `control` runs a control replica and, on the leader, serves the daemons;
+//! - `config_changes` stores configuration changes for daemons that fetch them;
+//! - `dispatcher` schedules the requests of all daemons on the leader;
+//! - `permit_allocator` grants permits on the leader.
 
 mod admit;
 mod broadcast;
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -7,8 +7,8 @@
 //!
 //! - [`RequestDigest`] identifies a request across attempts and daemons;
 //! - [`SuspectTable`] is the replicated table of suspects and their crashes;
-//! - [`SuspectCache`] is a daemon's copy of it;
-//! - [`TrialQueue`] runs on the leader and serializes the attempts of each suspect.
+//! - `SuspectCache` is a daemon's copy of it;
+//! - `TrialQueue` runs on the leader and serializes the attempts of each suspect.
 
 mod digest;
 #[cfg(test)]
--- a/crates/core/src/throttle/limit.rs
+++ b/crates/core/src/throttle/limit.rs
@@ -51,7 +51,7 @@
         self.0
     }
 
-    /// Interval between requests at this rate, at most [`MAX_INTERVAL`].
+    /// Interval between requests at this rate, at most `MAX_INTERVAL`.
     pub fn interval(self) -> Duration {
         let interval = Duration::try_from_secs_f64(1.0 / self.0).unwrap_or(MAX_INTERVAL);
         interval.min(MAX_INTERVAL)
--- a/crates/core/src/wire/quarantine.rs
+++ b/crates/core/src/wire/quarantine.rs
@@ -67,7 +67,7 @@
     pub apart: bool,
 }
 
-/// Mirrors [`crate::quarantine::TrialDecision`].
+/// Mirrors `quarantine::TrialDecision`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 pub enum TrialStatus {
     /// Too many tries wait.
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -1,7 +1,7 @@
 //! Forwards requests from callers to endpoints and streams the responses back.
 //!
-//! [`Relay`] admits a request, resolves its route and workspace, and dispatches it to [`call`]
-//! (unary requests) or [`generation`] (event streams). A [`Protocol`] decodes and encodes the
+//! [`Relay`] admits a request, resolves its route and workspace, and dispatches it to `call`
+//! (unary requests) or `generation` (event streams). A [`Protocol`] decodes and encodes the
 //! messages on both sides.
 
 mod admission;
