--- a/crates/core/src/placement/policy/power_of_two.rs
+++ b/crates/core/src/placement/policy/power_of_two.rs
@@ -29,7 +29,7 @@
 
 impl Policy for PowerOfTwoChoices {
     fn name(&self) -> &'static str {
-        "two-sampled"
+        "two-drawn"
     }
 
     fn choose(
